--- a/base/src/boot.rs
+++ b/base/src/boot.rs
@@ -5,15 +5,15 @@
 use futures::future::{Either, select};
 
 use crate::{
-    seam::{Env, Local, Part, Real},
-    settings::{self, Place, Settings},
+    runtime::{Component, Env, LocalFuture, SystemRuntime},
+    settings::{self, NodeConfig, Settings},
     topology,
 };
 
 /// Exit code: the settings or flags are wrong.
-pub const BAD_SETTINGS: i32 = 78;
+pub const EXIT_BAD_SETTINGS: i32 = 78;
 /// Exit code: an address can't be bound or the data folder can't be used.
-pub const CANT_START: i32 = 69;
+pub const EXIT_CANNOT_START: i32 = 69;
 
 /// What the flags said; they go before the file.
 #[derive(Clone, Debug, Default)]
@@ -107,7 +107,7 @@
     let all = topology::read(&text).map_err(told)?;
     let name = flags.name.as_ref().ok_or("--topology needs --name")?;
     let me = all.iter().find(|s| s.name == *name).ok_or_else(|| told(format!("no feature has the name {name:?}")))?;
-    flags.area.get_or_insert(me.area.clone());
+    flags.area.get_or_insert(me.zone.clone());
     flags.http.get_or_insert(me.http.to_string());
     flags.peer.get_or_insert(me.peer.to_string());
     if flags.seed.is_empty() {
@@ -118,13 +118,13 @@
 }
 
 /// The path of the users' own settings file, where a variable names one and no flag says anything else.
-pub fn given(flags: &Flags, variable: &str) -> Option<PathBuf> {
+pub fn platform_settings_path(flags: &Flags, variable: &str) -> Option<PathBuf> {
     let own = flags.file.is_none() && flags.topology.is_none() && flags.name.is_none();
     std::env::var_os(variable).filter(|_| own).map(PathBuf::from)
 }
 
 /// Reads the file and lays topology and flags over it; the error names file and field.
-pub fn load(flags: &Flags) -> Result<(Settings, Place), String> {
+pub fn load(flags: &Flags) -> Result<(Settings, NodeConfig), String> {
     let flags = &locate(flags)?;
     let mut set = match &flags.file {
         Some(path) => {
@@ -175,7 +175,7 @@
 }
 
 /// Loads, or tells what is wrong and ends; with `--check` ends either way.
-pub fn must_load(flags: &Flags, hub: bool) -> (Settings, Place) {
+pub fn load_or_exit(flags: &Flags, hub: bool) -> (Settings, NodeConfig) {
     let out = load(flags).and_then(|(s, p)| match &s.data {
         _ if !hub && flags.rescue.is_some() => Err("--rescue: only control nodes have a disk to go on from".into()),
         None if hub => Err("data: a control node needs a data folder".into()),
@@ -190,27 +190,27 @@
         Ok(both) => both,
         Err(text) => {
             eprintln!("{text}");
-            exit(BAD_SETTINGS)
+            exit(EXIT_BAD_SETTINGS)
         }
     }
 }
 
 /// The checked place of settings that came from elsewhere than a file of the product's own; ends when they are wrong.
-pub fn place_of(set: &Settings, from: &str) -> Place {
+pub fn config_or_exit(set: &Settings, from: &str) -> NodeConfig {
     set.check().unwrap_or_else(|all| {
         eprintln!("{}", all.iter().map(|f| format!("{from}: {f}")).collect::<Vec<_>>().join("\n"));
-        exit(BAD_SETTINGS)
+        exit(EXIT_BAD_SETTINGS)
     })
 }
 
 /// Tells what is wrong with settings, and ends.
-pub fn wrong(text: &str) -> ! {
+pub fn exit_bad_settings(text: &str) -> ! {
     eprintln!("{text}");
-    exit(BAD_SETTINGS)
+    exit(EXIT_BAD_SETTINGS)
 }
 
 /// Ends here if only a check was asked for.
-pub fn checked(flags: &Flags) {
+pub fn exit_if_check_only(flags: &Flags) {
     if flags.check {
         println!("settings are good");
         exit(0)
@@ -218,18 +218,18 @@
 }
 
 /// Tells whether settings that were changed could be used; only the log level is taken on at once.
-pub fn reread(env: &Env, set: Result<Settings, String>) {
+pub fn apply_reread_settings(env: &Env, set: Result<Settings, String>) {
     match set.and_then(|s| s.check().map(|_| s).map_err(|all| all.join("; "))) {
         Ok(s) => {
-            log(&s.log);
-            env.log(Part::Main, "settings were read again; they are in force from the next start");
+            set_log_level(&s.log);
+            env.log(Component::Main, "settings were read again; they are in force from the next start");
         }
-        Err(e) => env.log(Part::Main, format!("the changed settings are refused, the old ones stay: {e}")),
+        Err(e) => env.log(Component::Main, format!("the changed settings are refused, the old ones stay: {e}")),
     }
 }
 
 /// Sets how much is logged.
-pub fn log(level: &str) {
+pub fn set_log_level(level: &str) {
     use spdlog::{Level, LevelFilter};
     let level = match level {
         "error" => Level::Error,
@@ -242,25 +242,25 @@
 }
 
 /// The real world, with the data folder if one is set.
-pub fn world(data: Option<&str>) -> Env {
-    match Real::new(data.map(PathBuf::from)) {
-        Ok(w) => Env::new(w as Rc<dyn crate::seam::World>),
-        Err(e) => fail(&format!("data folder: {e}")),
+pub fn system_env(data: Option<&str>) -> Env {
+    match SystemRuntime::new(data.map(PathBuf::from)) {
+        Ok(w) => Env::new(w as Rc<dyn crate::runtime::Runtime>),
+        Err(e) => exit_cannot_start(&format!("data folder: {e}")),
     }
 }
 
 /// Tells why the process can't start, and ends it.
-pub fn fail(text: &str) -> ! {
+pub fn exit_cannot_start(text: &str) -> ! {
     spdlog::critical!("main: {text}");
     spdlog::default_logger().flush();
-    exit(CANT_START)
+    exit(EXIT_CANNOT_START)
 }
 
 /// The signals a process listens to, from before it starts on.
 pub struct Signals {
-    end: Local<()>,
-    stop: Local<()>,
-    reload: Local<()>,
+    end: LocalFuture<()>,
+    stop: LocalFuture<()>,
+    reload: LocalFuture<()>,
 }
 
 const TERM: i32 = 15;
@@ -268,8 +268,8 @@
 const HUP: i32 = 1;
 
 /// A listener that is in place when this returns.
-async fn listen(sig: i32) -> Local<()> {
-    let mut wait: Local<()> = Box::pin(async move {
+async fn listen(sig: i32) -> LocalFuture<()> {
+    let mut wait: LocalFuture<()> = Box::pin(async move {
         let _ = compio::signal::unix::signal(sig).await;
     });
     let _ = futures::poll!(&mut wait);
@@ -307,23 +307,23 @@
         while !self.next().await {
             again();
         }
-        env.log(Part::Main, "going down");
+        env.log(Component::Main, "going down");
     }
 
     /// Serves until asked to end; on SIGHUP reads the settings again and hands the good ones to `take`, which says what
     /// of them is in force now.
-    pub async fn until_end(mut self, env: &Env, flags: &Flags, take: impl Fn(&Place) -> &'static str) {
+    pub async fn until_end(mut self, env: &Env, flags: &Flags, take: impl Fn(&NodeConfig) -> &'static str) {
         while !self.next().await {
             match load(flags) {
                 Ok((set, place)) => {
-                    log(&set.log);
+                    set_log_level(&set.log);
                     let what = take(&place);
                     let text = format!("settings were read again; {what} and log level are in force");
-                    env.log(Part::Main, text + ", the rest from the next start");
+                    env.log(Component::Main, text + ", the rest from the next start");
                 }
-                Err(e) => env.log(Part::Main, format!("the changed settings are refused, the old ones stay: {e}")),
+                Err(e) => env.log(Component::Main, format!("the changed settings are refused, the old ones stay: {e}")),
             }
         }
-        env.log(Part::Main, "going down");
+        env.log(Component::Main, "going down");
     }
 }
--- a/base/src/edge/backend.rs
+++ b/base/src/edge/backend.rs
@@ -2,30 +2,30 @@
 
 use bytes::Bytes;
 
-use crate::{http::Return, strict, words::Position};
+use crate::{http::HttpResponse, position::Position, strict};
 
-use super::caller::Verb;
+use super::client::Verb;
 
 /// Header of an answer: the server's log position.
-pub const POSITION: &str = "x-position";
+pub const POSITION_HEADER: &str = "x-position";
 /// Header of an answer: `1` when the server leads.
-pub const LEADS: &str = "x-leads";
+pub const IS_PRIMARY_HEADER: &str = "x-leads";
 /// Header of an answer: `1` when the server is draining.
-pub const DRAINING: &str = "x-draining";
+pub const DRAINING_HEADER: &str = "x-draining";
 /// Header of an answer: `no` when the server did not take the statement.
-pub const TAKEN: &str = "x-taken";
+pub const EXECUTED_HEADER: &str = "x-taken";
 /// Header of an answer: the identity of the server's log, a number that a log begun anew does not share.
-pub const LOG: &str = "x-log";
+pub const LOG_ID_HEADER: &str = "x-log";
 /// Header of a request: the line on which the sender believes the server leads.
-pub const LINE: &str = "x-line";
+pub const EPOCH_HEADER: &str = "x-line";
 /// The path that wipes a connection's session state and any open transaction.
-pub const RESET: &str = "/reset";
+pub const RESET_PATH: &str = "/reset";
 /// The path that tells the log position.
-pub const PLACE: &str = "/position";
+pub const POSITION_PATH: &str = "/position";
 
 strict! {
     /// What a server says of itself every few moments.
-    pub struct Report {
+    pub struct ServerReport {
         pub server: String,
         pub area: String,
         pub addr: String,
@@ -47,7 +47,7 @@
 }
 
 /// The path of a statement.
-pub fn path(verb: Verb) -> &'static str {
+pub fn statement_path(verb: Verb) -> &'static str {
     match verb {
         Verb::Read => "/read",
         Verb::Write => "/write",
@@ -61,14 +61,14 @@
 
 /// What a server's answer tells beside its body.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Signs {
-    pub place: Option<Position>,
+pub struct ResponseMetadata {
+    pub position: Option<Position>,
     /// The identity of the log, 0 where none is shown.
-    pub log: u64,
-    pub leads: bool,
+    pub log_id: u64,
+    pub is_primary: bool,
     pub draining: bool,
     /// The server shows that it did not take the statement.
-    pub untaken: bool,
+    pub not_executed: bool,
     /// The server turned the statement away for load.
     pub throttled: bool,
     /// The server failed at the statement.
@@ -76,21 +76,21 @@
 }
 
 /// Reads an answer's signs.
-pub fn signs(out: &Return) -> Signs {
-    Signs {
-        place: out.header(POSITION).and_then(|p| p.parse().ok()),
-        log: out.header(LOG).and_then(|l| l.parse().ok()).unwrap_or(0),
-        leads: out.header(LEADS) == Some("1"),
-        draining: out.header(DRAINING) == Some("1"),
-        untaken: out.header(TAKEN) == Some("no"),
-        throttled: out.code == 429,
-        failed: out.code >= 500,
+pub fn response_metadata(out: &HttpResponse) -> ResponseMetadata {
+    ResponseMetadata {
+        position: out.header(POSITION_HEADER).and_then(|p| p.parse().ok()),
+        log_id: out.header(LOG_ID_HEADER).and_then(|l| l.parse().ok()).unwrap_or(0),
+        is_primary: out.header(IS_PRIMARY_HEADER) == Some("1"),
+        draining: out.header(DRAINING_HEADER) == Some("1"),
+        not_executed: out.header(EXECUTED_HEADER) == Some("no"),
+        throttled: out.status == 429,
+        failed: out.status >= 500,
     }
 }
 
 strict! {
     /// The call to the platform that names a new leader.
-    pub struct Naming {
+    pub struct PromotionRequest {
         pub group: String,
         pub server: String,
         pub line: u64,
@@ -102,10 +102,12 @@
 }
 
 /// The path on the platform that names a new leader.
-pub const LEAD: &str = "/lead";
+pub const PROMOTION_PATH: &str = "/lead";
 
 /// The body of the call that names a new leader.
-pub fn naming(group: &str, server: &str, line: u64, log: u64, from: Position) -> Bytes {
+pub fn promotion_body(group: &str, server: &str, line: u64, log: u64, from: Position) -> Bytes {
     use nanoserde::SerJson;
-    Naming { group: group.into(), server: server.into(), line, log, from: from.to_string() }.serialize_json().into()
+    PromotionRequest { group: group.into(), server: server.into(), line, log, from: from.to_string() }
+        .serialize_json()
+        .into()
 }
--- a/base/src/edge/caller.rs
+++ b/base/src/edge/client.rs
@@ -2,20 +2,20 @@
 
 use std::{str::FromStr, time::Duration};
 
-use crate::{error::Kind, http::Ask, words::Position};
+use crate::{error::ErrorKind, http::HttpRequest, position::Position};
 
 /// Header: the attempt's id.
-pub const SEND: &str = "x-send";
+pub const ATTEMPT_ID_HEADER: &str = "x-send";
 /// Header: what became of a write (`yes`, `no`, `unknown`).
-pub const KEPT: &str = "x-kept";
+pub const WRITE_OUTCOME_HEADER: &str = "x-kept";
 /// Header: the position token that goes with the caller from node to node.
-pub const TOKEN: &str = "x-token";
+pub const TOKEN_HEADER: &str = "x-token";
 /// Header: how long the caller will wait, in milliseconds.
-pub const DUE: &str = "x-due-ms";
+pub const TIMEOUT_HEADER: &str = "x-due-ms";
 /// Header: a name for the statement's kind.
-pub const LABEL: &str = "x-label";
+pub const LABEL_HEADER: &str = "x-label";
 /// Header of an answer: the server that gave it.
-pub const SERVER: &str = "x-server";
+pub const SERVER_HEADER: &str = "x-server";
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 impl Verb {
     /// The word in the path.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Verb::Read => "read",
             Verb::Write => "write",
@@ -45,7 +45,7 @@
 
     fn find(word: &str) -> Option<Self> {
         use Verb::*;
-        [Read, Write, Begin, Commit, Rollback, Set, Prepare].into_iter().find(|v| v.word() == word)
+        [Read, Write, Begin, Commit, Rollback, Set, Prepare].into_iter().find(|v| v.as_str() == word)
     }
 }
 
@@ -53,14 +53,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Token {
     /// Reads must see this position.
-    pub seen: Position,
+    pub read_floor: Position,
     /// A write of unknown outcome is about: only the leader will do.
-    pub unsure: bool,
+    pub outcome_unknown: bool,
 }
 
 impl std::fmt::Display for Token {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}{}", self.seen, if self.unsure { "!" } else { "" })
+        write!(f, "{}{}", self.read_floor, if self.outcome_unknown { "!" } else { "" })
     }
 }
 
@@ -72,59 +72,59 @@
             Some(t) => (t, true),
             None => (text, false),
         };
-        Ok(Self { seen: text.parse()?, unsure })
+        Ok(Self { read_floor: text.parse()?, outcome_unknown: unsure })
     }
 }
 
 impl Token {
     /// Joins what two tokens promise.
-    pub fn join(&mut self, other: Token) {
-        self.seen = self.seen.max(other.seen);
-        self.unsure |= other.unsure;
+    pub fn merge(&mut self, other: Token) {
+        self.read_floor = self.read_floor.max(other.read_floor);
+        self.outcome_unknown |= other.outcome_unknown;
     }
 }
 
 /// A caller's request, read from its form.
 #[derive(Clone, Debug)]
-pub struct Word<'a> {
-    pub name: &'a str,
+pub struct ClientRequest<'a> {
+    pub database: &'a str,
     pub verb: Verb,
-    pub send: &'a str,
+    pub attempt_id: &'a str,
     pub label: &'a str,
     pub token: Option<Token>,
-    pub due: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// Reads a caller's request.
-pub fn read(ask: &Ask) -> Result<Word<'_>, Kind> {
+pub fn parse_request(ask: &HttpRequest) -> Result<ClientRequest<'_>, ErrorKind> {
     let path = ask.path.split('?').next().unwrap_or("");
     let mut parts = path.split('/').filter(|p| !p.is_empty());
     let (Some("db"), Some(name), Some(verb), None) = (parts.next(), parts.next(), parts.next(), parts.next()) else {
-        return Err(Kind::NoPath);
+        return Err(ErrorKind::NoPath);
     };
-    let verb = Verb::find(verb).ok_or(Kind::NoPath)?;
+    let verb = Verb::find(verb).ok_or(ErrorKind::NoPath)?;
     if ask.method != hyper::Method::POST {
-        return Err(Kind::Malformed);
+        return Err(ErrorKind::Malformed);
     }
     // A header that is there twice, or is no text, is not passed over: the caller meant something by it.
-    for name in [SEND, TOKEN, DUE, LABEL] {
-        let mut all = ask.head.get_all(name).iter();
+    for name in [ATTEMPT_ID_HEADER, TOKEN_HEADER, TIMEOUT_HEADER, LABEL_HEADER] {
+        let mut all = ask.headers.get_all(name).iter();
         if all.next().is_some_and(|v| v.to_str().is_err()) || all.next().is_some() {
-            return Err(Kind::Malformed);
+            return Err(ErrorKind::Malformed);
         }
     }
-    let token = match ask.header(TOKEN) {
-        Some(t) => Some(t.parse().map_err(|()| Kind::Malformed)?),
+    let token = match ask.header(TOKEN_HEADER) {
+        Some(t) => Some(t.parse().map_err(|()| ErrorKind::Malformed)?),
         None => None,
     };
-    let due = match ask.header(DUE) {
-        Some(t) => Some(Duration::from_millis(t.parse().map_err(|_| Kind::Malformed)?)),
+    let due = match ask.header(TIMEOUT_HEADER) {
+        Some(t) => Some(Duration::from_millis(t.parse().map_err(|_| ErrorKind::Malformed)?)),
         None => None,
     };
-    let send = ask.header(SEND).unwrap_or("");
-    let label = ask.header(LABEL).unwrap_or("");
+    let send = ask.header(ATTEMPT_ID_HEADER).unwrap_or("");
+    let label = ask.header(LABEL_HEADER).unwrap_or("");
     if send.len() > 128 || label.len() > 64 {
-        return Err(Kind::Malformed);
+        return Err(ErrorKind::Malformed);
     }
-    Ok(Word { name, verb, send, label, token, due })
+    Ok(ClientRequest { database: name, verb, attempt_id: send, label, token, timeout: due })
 }
--- a/base/src/edge/mod.rs
+++ b/base/src/edge/mod.rs
@@ -1,18 +1,18 @@
 //! The outer HTTP forms, each in one module, so that a form can change without the middle.
 
 pub mod backend;
-pub mod caller;
+pub mod client;
 pub mod operator;
 
 use crate::{
-    error::{Kept, Kind},
-    http::Return,
+    error::{ErrorKind, WriteOutcome},
+    http::HttpResponse,
 };
 
 /// The answer to a request that can't be served, at once and final.
-pub fn refuse(kind: Kind, text: &str, kept: Option<Kept>) -> Return {
+pub fn error_response(kind: ErrorKind, text: &str, kept: Option<WriteOutcome>) -> HttpResponse {
     use nanoserde::SerJson;
-    let row = kind.row();
+    let row = kind.response();
     let mut body = format!("{{\"error\":\"{}\",\"text\":", row.name);
     let text = if text.is_empty() { kind.to_string() } else { text.to_string() };
     body.push_str(&text.serialize_json());
@@ -20,12 +20,12 @@
         body.push_str(&format!(",\"kept\":\"{k}\""));
     }
     body.push('}');
-    let mut out = Return::new(row.code, body).with("content-type", "application/json");
-    if let Some(s) = row.retry {
-        out = out.with("retry-after", s);
+    let mut out = HttpResponse::new(row.status, body).with_header("content-type", "application/json");
+    if let Some(s) = row.retry_after_s {
+        out = out.with_header("retry-after", s);
     }
     if let Some(k) = kept {
-        out = out.with(caller::KEPT, k);
+        out = out.with_header(client::WRITE_OUTCOME_HEADER, k);
     }
     out
 }
--- a/base/src/edge/operator.rs
+++ b/base/src/edge/operator.rs
@@ -4,7 +4,7 @@
 
 /// How much fresher than its neighbours a doorway's reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Consistency {
     /// Every acknowledged commit is seen.
     Leader,
     /// Commits older than the freshness bound are seen.
@@ -15,26 +15,28 @@
     Any,
 }
 
-impl Promise {
+impl Consistency {
     /// The word in the form.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Promise::Leader => "leader",
-            Promise::Bound => "bound",
-            Promise::Session => "session",
-            Promise::Any => "any",
+            Consistency::Leader => "leader",
+            Consistency::Bound => "bound",
+            Consistency::Session => "session",
+            Consistency::Any => "any",
         }
     }
 
     /// Finds a promise by its word.
-    pub fn find(word: &str) -> Option<Self> {
-        [Promise::Leader, Promise::Bound, Promise::Session, Promise::Any].into_iter().find(|p| p.word() == word)
+    pub fn parse(word: &str) -> Option<Self> {
+        [Consistency::Leader, Consistency::Bound, Consistency::Session, Consistency::Any]
+            .into_iter()
+            .find(|p| p.as_str() == word)
     }
 }
 
 strict! {
     /// A database name tied to a group and a promise.
-    pub struct Doorway {
+    pub struct Route {
         pub name: String,
         pub group: String,
         pub promise: String,
@@ -55,9 +57,9 @@
     }
 }
 
-impl Doorway {
+impl Route {
     /// A doorway of which nothing more is said.
-    pub fn plain(name: &str, group: &str, promise: &str) -> Self {
+    pub fn with_defaults(name: &str, group: &str, promise: &str) -> Self {
         Self {
             name: name.into(),
             group: group.into(),
@@ -102,9 +104,9 @@
 
 strict! {
     /// A whole doorway set. With `after`, it is taken only if that is the newest sequence.
-    pub struct Set {
+    pub struct Configuration {
         pub after: Option<u64> = None,
-        pub doorways: Vec<Doorway>,
+        pub doorways: Vec<Route>,
         pub groups: Vec<Group>,
         pub limits: Option<Limits> = None,
         /// The operators' own number for the set, which must rise; `after` is then compared with the one in force.
@@ -116,9 +118,9 @@
 
 strict! {
     /// A change to a few doorways and groups, against the sequence named in `after`.
-    pub struct Change {
+    pub struct ConfigurationChange {
         pub after: u64,
-        pub put: Vec<Doorway> = Vec::new(),
+        pub put: Vec<Route> = Vec::new(),
         pub drop: Vec<String> = Vec::new(),
         /// Groups as they are to be from now on; one server more or less at a time.
         pub groups: Vec<Group> = Vec::new(),
@@ -134,9 +136,9 @@
 
 strict! {
     /// A whole set as read back.
-    pub struct Readback {
+    pub struct ConfigurationView {
         pub sequence: u64,
-        pub doorways: Vec<Doorway>,
+        pub doorways: Vec<Route>,
         pub groups: Vec<Group>,
         pub limits: Limits,
         pub emptied: Vec<String>,
@@ -147,21 +149,21 @@
 
 strict! {
     /// A wish that a server lead its group.
-    pub struct Handover {
+    pub struct HandoverRequest {
         pub server: String,
     }
 }
 
 impl Group {
     /// A group of servers that the operator names.
-    pub fn plain(name: &str, servers: &[String], cap: u64) -> Self {
+    pub fn with_defaults(name: &str, servers: &[String], cap: u64) -> Self {
         Self { name: name.into(), servers: servers.to_vec(), cap, confirms: false, note: String::new() }
     }
 }
 
-impl Change {
+impl ConfigurationChange {
     /// A change of nothing, against a sequence.
-    pub fn against(after: u64) -> Self {
+    pub fn based_on(after: u64) -> Self {
         Self {
             after,
             put: Vec::new(),
@@ -196,7 +198,7 @@
 const MOST_GROUPS: usize = 1000;
 
 /// Every fault of a whole set; empty when it can be taken.
-pub fn check(doorways: &[Doorway], groups: &[Group], limits: &Limits) -> Vec<String> {
+pub fn check(doorways: &[Route], groups: &[Group], limits: &Limits) -> Vec<String> {
     let mut out = Vec::new();
     if doorways.len() > MOST_DOORWAYS {
         out.push(format!("doorways: {} of at most {MOST_DOORWAYS}", doorways.len()));
@@ -219,7 +221,7 @@
                 out.push(format!("doorway {:?}: {field} {span} is above {LONGEST_MS}", d.name));
             }
         }
-        if Promise::find(&d.promise).is_none() {
+        if Consistency::parse(&d.promise).is_none() {
             out.push(format!("doorway {:?}: promise {:?} is not leader, bound, session or any", d.name, d.promise));
         }
     }
--- a/base/src/error.rs
+++ b/base/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Every error an outer caller can be answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Kind {
+pub enum ErrorKind {
     #[error("malformed request")]
     Malformed,
     #[error("body too large")]
@@ -16,111 +16,111 @@
     #[error("invalid configuration")]
     Invalid,
     #[error("sequence conflict")]
-    Conflict,
+    VersionConflict,
     #[error("not confirmed by control nodes")]
     Unconfirmed,
     #[error("no leader known")]
-    NoLeader,
+    NoPrimary,
     #[error("no server can take this")]
     NoServer,
     #[error("inbox full")]
-    Full,
+    Overloaded,
     #[error("the due passed")]
-    Due,
+    DeadlineExceeded,
     #[error("area emptied")]
-    Emptied,
+    ZoneEvacuated,
     #[error("going down")]
-    Closing,
+    ShuttingDown,
     #[error("transaction lost")]
-    Lost,
+    TransactionLost,
     #[error("out of order in session")]
-    Order,
+    OutOfOrder,
     #[error("outcome unknown")]
-    Unknown,
+    OutcomeUnknown,
     #[error("server failed")]
-    Failed,
+    ServerFailed,
     #[error("no room on disk")]
-    NoRoom,
+    DiskFull,
     #[error("no such prepared name")]
-    NoName,
+    UnknownPreparedName,
 }
 
 /// What became of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
-    Yes,
-    No,
+pub enum WriteOutcome {
+    Committed,
+    NotCommitted,
     Unknown,
 }
 
-impl fmt::Display for Kept {
+impl fmt::Display for WriteOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Kept::Yes => "yes",
-            Kept::No => "no",
-            Kept::Unknown => "unknown",
+            WriteOutcome::Committed => "yes",
+            WriteOutcome::NotCommitted => "no",
+            WriteOutcome::Unknown => "unknown",
         })
     }
 }
 
 /// How a kind is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct ErrorResponse {
     /// HTTP code.
-    pub code: u16,
+    pub status: u16,
     /// Short name in the body.
     pub name: &'static str,
     /// Seconds for Retry-After, if coming back makes sense.
-    pub retry: Option<u32>,
+    pub retry_after_s: Option<u32>,
 }
 
-impl Kind {
+impl ErrorKind {
     /// Every kind, in table order.
-    pub const ALL: [Kind; 19] = [
-        Kind::Malformed,
-        Kind::TooLarge,
-        Kind::NoDatabase,
-        Kind::NoPath,
-        Kind::Invalid,
-        Kind::Conflict,
-        Kind::Unconfirmed,
-        Kind::NoLeader,
-        Kind::NoServer,
-        Kind::Full,
-        Kind::Due,
-        Kind::Emptied,
-        Kind::Closing,
-        Kind::Lost,
-        Kind::Order,
-        Kind::Unknown,
-        Kind::Failed,
-        Kind::NoRoom,
-        Kind::NoName,
+    pub const ALL: [ErrorKind; 19] = [
+        ErrorKind::Malformed,
+        ErrorKind::TooLarge,
+        ErrorKind::NoDatabase,
+        ErrorKind::NoPath,
+        ErrorKind::Invalid,
+        ErrorKind::VersionConflict,
+        ErrorKind::Unconfirmed,
+        ErrorKind::NoPrimary,
+        ErrorKind::NoServer,
+        ErrorKind::Overloaded,
+        ErrorKind::DeadlineExceeded,
+        ErrorKind::ZoneEvacuated,
+        ErrorKind::ShuttingDown,
+        ErrorKind::TransactionLost,
+        ErrorKind::OutOfOrder,
+        ErrorKind::OutcomeUnknown,
+        ErrorKind::ServerFailed,
+        ErrorKind::DiskFull,
+        ErrorKind::UnknownPreparedName,
     ];
 
     /// The table from kind to answer.
-    pub fn row(self) -> Row {
+    pub fn response(self) -> ErrorResponse {
         let (code, name, retry) = match self {
-            Kind::Malformed => (400, "malformed", None),
-            Kind::TooLarge => (413, "too-large", None),
-            Kind::NoDatabase => (404, "no-database", None),
-            Kind::NoPath => (404, "no-path", None),
-            Kind::Invalid => (422, "invalid", None),
-            Kind::Conflict => (409, "conflict", None),
-            Kind::Unconfirmed => (503, "unconfirmed", Some(1)),
-            Kind::NoLeader => (503, "no-leader", Some(2)),
-            Kind::NoServer => (503, "no-server", Some(1)),
-            Kind::Full => (503, "full", Some(1)),
-            Kind::Due => (503, "due", Some(1)),
-            Kind::Emptied => (503, "emptied", Some(5)),
-            Kind::Closing => (503, "closing", Some(1)),
-            Kind::Lost => (503, "lost", Some(1)),
-            Kind::Order => (409, "order", None),
-            Kind::Unknown => (504, "unknown", Some(1)),
-            Kind::Failed => (502, "failed", Some(1)),
-            Kind::NoRoom => (507, "no-room", Some(5)),
-            Kind::NoName => (404, "no-name", None),
+            ErrorKind::Malformed => (400, "malformed", None),
+            ErrorKind::TooLarge => (413, "too-large", None),
+            ErrorKind::NoDatabase => (404, "no-database", None),
+            ErrorKind::NoPath => (404, "no-path", None),
+            ErrorKind::Invalid => (422, "invalid", None),
+            ErrorKind::VersionConflict => (409, "conflict", None),
+            ErrorKind::Unconfirmed => (503, "unconfirmed", Some(1)),
+            ErrorKind::NoPrimary => (503, "no-leader", Some(2)),
+            ErrorKind::NoServer => (503, "no-server", Some(1)),
+            ErrorKind::Overloaded => (503, "full", Some(1)),
+            ErrorKind::DeadlineExceeded => (503, "due", Some(1)),
+            ErrorKind::ZoneEvacuated => (503, "emptied", Some(5)),
+            ErrorKind::ShuttingDown => (503, "closing", Some(1)),
+            ErrorKind::TransactionLost => (503, "lost", Some(1)),
+            ErrorKind::OutOfOrder => (409, "order", None),
+            ErrorKind::OutcomeUnknown => (504, "unknown", Some(1)),
+            ErrorKind::ServerFailed => (502, "failed", Some(1)),
+            ErrorKind::DiskFull => (507, "no-room", Some(5)),
+            ErrorKind::UnknownPreparedName => (404, "no-name", None),
         };
-        Row { code, name, retry }
+        ErrorResponse { status: code, name, retry_after_s: retry }
     }
 }
--- a/base/src/loop_lag.rs
+++ b/base/src/loop_lag.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, convert::Infallible, rc::Rc, time::Duration};
 
-use crate::seam::{Env, Part};
+use crate::runtime::{Component, Env};
 
 /// At most one log line in so many steps.
 const STEPS_PER_LINE: u32 = 8;
@@ -11,19 +11,19 @@
 pub struct LoopLag {
     env: Env,
     step: Duration,
-    newest: Cell<Duration>,
+    latest: Cell<Duration>,
     worst: Cell<Duration>,
 }
 
 impl LoopLag {
     /// A measurement every `step`; a timer that is late by half of that is logged.
     pub fn new(env: &Env, step: Duration) -> Rc<Self> {
-        Rc::new(Self { env: env.clone(), step, newest: Cell::default(), worst: Cell::default() })
+        Rc::new(Self { env: env.clone(), step, latest: Cell::default(), worst: Cell::default() })
     }
 
     /// The newest measurement.
     pub fn newest(&self) -> Duration {
-        self.newest.get()
+        self.latest.get()
     }
 
     /// The worst since the start.
@@ -38,11 +38,11 @@
             let due = self.env.now() + self.step;
             self.env.sleep(self.step).await;
             let late = self.env.now().saturating_sub(due);
-            self.newest.set(late);
+            self.latest.set(late);
             self.worst.set(self.worst.get().max(late));
             if late > self.step / 2 && self.env.now() >= quiet_until {
                 quiet_until = self.env.now() + self.step * STEPS_PER_LINE;
-                self.env.log(Part::Main, format!("tasks run {} ms late", late.as_millis()));
+                self.env.log(Component::Main, format!("tasks run {} ms late", late.as_millis()));
             }
         }
     }
--- a/base/src/bell.rs
+++ b/base/src/notify.rs
@@ -9,7 +9,7 @@
 
 /// Rung by an owner after a change; waiters look again.
 #[derive(Clone, Default)]
-pub struct Bell(Rc<Inner>);
+pub struct Notify(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
@@ -17,21 +17,21 @@
     wakers: RefCell<Vec<Waker>>,
 }
 
-impl Bell {
+impl Notify {
     /// How often the bell was rung; pass it to [`Bell::after`].
-    pub fn count(&self) -> u64 {
+    pub fn generation(&self) -> u64 {
         self.0.count.get()
     }
 
     /// Wakes all waiters.
-    pub fn ring(&self) {
+    pub fn notify_waiters(&self) {
         self.0.count.set(self.0.count.get() + 1);
         let all = std::mem::take(&mut *self.0.wakers.borrow_mut());
         all.into_iter().for_each(Waker::wake);
     }
 
     /// Waits until the bell has been rung since `seen`.
-    pub async fn after(&self, seen: u64) {
+    pub async fn changed_since(&self, seen: u64) {
         poll_fn(|cx| {
             if self.0.count.get() != seen {
                 return Poll::Ready(());
@@ -46,13 +46,13 @@
     }
 
     /// Waits until `test` gives something, looking again at each ring.
-    pub async fn until<T>(&self, mut test: impl FnMut() -> Option<T>) -> T {
+    pub async fn wait_until<T>(&self, mut test: impl FnMut() -> Option<T>) -> T {
         loop {
-            let seen = self.count();
+            let seen = self.generation();
             if let Some(out) = test() {
                 return out;
             }
-            self.after(seen).await;
+            self.changed_since(seen).await;
         }
     }
 }
--- a/base/src/permits.rs
+++ b/base/src/permits.rs
@@ -5,7 +5,7 @@
 /// Hands out up to a fixed number of permits at a time; clones share the count.
 #[derive(Clone, Debug)]
 pub struct Permits {
-    used: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
     most: usize,
 }
 
@@ -18,21 +18,21 @@
 impl Permits {
     /// Permits of which `most` may be out at once.
     pub fn new(most: usize) -> Self {
-        Self { used: Rc::default(), most }
+        Self { in_use: Rc::default(), most }
     }
 
     /// A permit, or nothing while all are out.
-    pub fn take(&self) -> Option<Permit> {
-        if self.used.get() >= self.most {
+    pub fn try_acquire(&self) -> Option<Permit> {
+        if self.in_use.get() >= self.most {
             return None;
         }
-        self.used.set(self.used.get() + 1);
-        Some(Permit { used: self.used.clone() })
+        self.in_use.set(self.in_use.get() + 1);
+        Some(Permit { used: self.in_use.clone() })
     }
 
     /// How many are out.
     pub fn used(&self) -> usize {
-        self.used.get()
+        self.in_use.get()
     }
 }
 
--- a/base/src/words.rs
+++ b/base/src/position.rs
@@ -5,13 +5,13 @@
 /// A place in a server's log: the line (one per election) and the index on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    pub line: u64,
+    pub epoch: u64,
     pub index: u64,
 }
 
 impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.line, self.index)
+        write!(f, "{}.{}", self.epoch, self.index)
     }
 }
 
@@ -20,21 +20,21 @@
 
     fn from_str(text: &str) -> Result<Self, ()> {
         let (l, i) = text.split_once('.').ok_or(())?;
-        Ok(Self { line: l.parse().map_err(|_| ())?, index: i.parse().map_err(|_| ())? })
+        Ok(Self { epoch: l.parse().map_err(|_| ())?, index: i.parse().map_err(|_| ())? })
     }
 }
 
 impl Position {
     /// Whether a log that showed this place and now shows `now` lost something that may count. What lay behind the
     /// place `from` of the newest election is void where that election is of a later line.
-    pub fn lost(self, now: Position, line: u64, from: Position) -> bool {
-        let floor = if line > self.line { self.min(from) } else { self };
+    pub fn has_lost_entries(self, now: Position, line: u64, from: Position) -> bool {
+        let floor = if line > self.epoch { self.min(from) } else { self };
         now < floor
     }
 }
 
 /// One step of a small seeded generator (splitmix).
-pub fn step(seed: &Cell<u64>) -> u64 {
+pub fn next_random(seed: &Cell<u64>) -> u64 {
     let s = seed.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
     seed.set(s);
     let z = (s ^ (s >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/base/src/talk/mod.rs
+++ b/base/src/protocol/mod.rs
@@ -1,17 +1,19 @@
 //! What callers and servers say to each other in sessions, in the product's own words. A form (an outer manner of
 //! speaking) translates; nothing here knows how any of it looks on a wire.
 
-mod line;
 mod request;
+mod server;
 mod session;
 
-pub use line::{Line, Naming, Refused, Reply, Row, ServerProtocol, Verdict};
 pub use request::{Once, Repeatable, Request};
-pub use session::{Answer, DatabaseSession, Fail, Host, Phase};
+pub use server::{
+    Promotion, RefusalReason, ReplicationStatus, ServerConnection, ServerOutcome, ServerProtocol, ServerReply,
+};
+pub use session::{DatabaseSession, SessionProvider, StatementError, StatementResponse, TransactionState};
 
 /// What a statement asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum StatementKind {
     /// Opens a transaction; one that only reads may run on a follower.
     Begin {
         reads: bool,
@@ -27,37 +29,37 @@
         writes: bool,
     },
     /// Runs a prepared name.
-    Use,
+    Execute,
     /// Forgets a prepared name.
-    Drop,
+    Deallocate,
     /// Asked of a server only: forget all values and names of the session.
-    Wipe,
+    ResetSession,
     /// Asked of a server only: where it stands.
-    Place,
+    Status,
     /// Asked of a server only: receive nothing more until freed, ahead of an election of this line.
-    Hold {
+    SuspendReplication {
         line: u64,
     },
     /// Asked of a server only: follow, if it leads on an earlier line.
-    Yield {
+    StepDown {
         line: u64,
     },
     /// Asked of a server only: receive again.
-    Free,
+    ResumeReplication,
 }
 
 /// One statement. The text is the sender's own and goes on unread; `name` is a session value's or a prepared one's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     pub id: String,
-    pub act: Act,
+    pub kind: StatementKind,
     pub name: String,
     pub text: String,
 }
 
 impl Statement {
     /// A statement of the product's own.
-    pub fn own(act: Act) -> Self {
-        Self { id: String::new(), act, name: String::new(), text: String::new() }
+    pub fn internal(act: StatementKind) -> Self {
+        Self { id: String::new(), kind: act, name: String::new(), text: String::new() }
     }
 }
--- a/base/src/talk/request.rs
+++ b/base/src/protocol/request.rs
@@ -1,7 +1,7 @@
 //! Statements by whether they may be sent again. The two are types of their own, so that only what changes nothing can be
 //! handed to a retry: a [`Once`] can't be copied, sending takes it away, and it comes back only where it surely was not run.
 
-use super::{Act, Statement};
+use super::{Statement, StatementKind};
 
 /// A statement that changes nothing: it may be sent again, and to more than one server.
 #[derive(Clone, Debug)]
@@ -20,20 +20,20 @@
 
 impl Request {
     /// Sorts a statement by whether it may write.
-    pub fn of(said: Statement, writes: bool) -> Self {
-        let reads = !writes && matches!(said.act, Act::Read | Act::Use);
+    pub fn classify(said: Statement, writes: bool) -> Self {
+        let reads = !writes && matches!(said.kind, StatementKind::Read | StatementKind::Execute);
         if reads { Self::Repeatable(Repeatable(said)) } else { Self::Once(Once(said)) }
     }
 }
 
 impl Repeatable {
     /// The opening of a transaction, of which nothing is kept before its commit; `None` where it is something else.
-    pub fn opening(said: &Statement) -> Option<Self> {
-        matches!(said.act, Act::Begin { .. }).then(|| Self(said.clone()))
+    pub fn begin(said: &Statement) -> Option<Self> {
+        matches!(said.kind, StatementKind::Begin { .. }).then(|| Self(said.clone()))
     }
 
     /// What is said.
-    pub fn said(&self) -> &Statement {
+    pub fn statement(&self) -> &Statement {
         &self.0
     }
 }
@@ -45,7 +45,7 @@
     }
 
     /// What is said; to look at, or to send together with taking this.
-    pub fn said(&self) -> &Statement {
+    pub fn statement(&self) -> &Statement {
         &self.0
     }
 }
--- a/base/src/seam/env.rs
+++ b/base/src/runtime/env.rs
@@ -13,29 +13,29 @@
     future::{AbortHandle, Abortable, Either, select},
 };
 
-use super::{Disk, Listener, Part, Stream, World};
+use super::{Component, Disk, Listener, Runtime, Stream};
 
 /// A handle to the world a task runs in; cheap to clone.
 #[derive(Clone)]
-pub struct Env(Rc<dyn World>);
+pub struct Env(Rc<dyn Runtime>);
 
 /// A span ran out before the work was done.
 #[derive(Debug, thiserror::Error)]
 #[error("the due passed")]
-pub struct Late;
+pub struct TimedOut;
 
 /// A started task, ended when this is dropped.
 #[must_use = "a job ends when dropped"]
-pub struct Job(Option<AbortHandle>);
+pub struct TaskGuard(Option<AbortHandle>);
 
-impl Job {
+impl TaskGuard {
     /// Lets the task run on by itself.
     pub fn detach(mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Job {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
         if let Some(h) = &self.0 {
             h.abort();
@@ -45,7 +45,7 @@
 
 impl Env {
     /// Wraps a world.
-    pub fn new(world: Rc<dyn World>) -> Self {
+    pub fn new(world: Rc<dyn Runtime>) -> Self {
         Self(world)
     }
 
@@ -73,18 +73,18 @@
     }
 
     /// Starts a task; it ends with the returned job.
-    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Job {
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> TaskGuard {
         let (hand, reg) = AbortHandle::new_pair();
         self.0.spawn(Box::pin(Abortable::new(task, reg).map(|_| ())));
-        Job(Some(hand))
+        TaskGuard(Some(hand))
     }
 
     /// Runs a future for at most `span`.
-    pub async fn within<T>(&self, span: Duration, work: impl Future<Output = T>) -> Result<T, Late> {
+    pub async fn timeout<T>(&self, span: Duration, work: impl Future<Output = T>) -> Result<T, TimedOut> {
         let work = pin!(work);
         match select(work, self.0.sleep(span)).await {
             Either::Left((out, _)) => Ok(out),
-            Either::Right(_) => Err(Late),
+            Either::Right(_) => Err(TimedOut),
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// A random number below `top`.
-    pub fn below(&self, top: u64) -> u64 {
+    pub fn rand_below(&self, top: u64) -> u64 {
         if top == 0 { 0 } else { self.0.rand() % top }
     }
 
@@ -105,9 +105,9 @@
 
     /// Opens a stream within `span`.
     pub async fn connect(&self, addr: SocketAddr, span: Duration) -> io::Result<Box<dyn Stream>> {
-        match self.within(span, self.0.connect(addr)).await {
+        match self.timeout(span, self.0.connect(addr)).await {
             Ok(r) => r,
-            Err(Late) => Err(io::ErrorKind::TimedOut.into()),
+            Err(TimedOut) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 
@@ -117,12 +117,12 @@
     }
 
     /// Writes a log line under the part's prefix.
-    pub fn log(&self, part: Part, text: impl AsRef<str>) {
+    pub fn log(&self, part: Component, text: impl AsRef<str>) {
         self.0.log(part, text.as_ref())
     }
 
     /// Ends the process, as after a failed sync.
-    pub fn die(&self, text: &str) {
-        self.0.die(text)
+    pub fn abort_process(&self, text: &str) {
+        self.0.abort_process(text)
     }
 }
--- a/base/src/seam/real.rs
+++ b/base/src/runtime/system.rs
@@ -15,16 +15,16 @@
 };
 use cyper_core::HyperStream;
 
-use super::{Disk, Listener, Local, Part, Stream, World};
+use super::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
 /// The real machine.
-pub struct Real {
+pub struct SystemRuntime {
     start: Instant,
     seed: Cell<u64>,
     disk: Option<Rc<Folder>>,
 }
 
-impl Real {
+impl SystemRuntime {
     /// A world with an optional data folder.
     pub fn new(data: Option<PathBuf>) -> io::Result<Rc<Self>> {
         use std::hash::{BuildHasher, Hasher};
@@ -40,24 +40,24 @@
     }
 }
 
-impl World for Real {
+impl Runtime for SystemRuntime {
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    fn sleep(&self, span: Duration) -> Local<()> {
+    fn sleep(&self, span: Duration) -> LocalFuture<()> {
         Box::pin(compio::time::sleep(span))
     }
 
-    fn spawn(&self, task: Local<()>) {
+    fn spawn(&self, task: LocalFuture<()>) {
         compio::runtime::spawn(task).detach();
     }
 
     fn rand(&self) -> u64 {
-        super::super::words::step(&self.seed)
+        super::super::position::next_random(&self.seed)
     }
 
-    fn listen(&self, addr: SocketAddr) -> Local<io::Result<Rc<dyn Listener>>> {
+    fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>> {
         Box::pin(async move {
             let sock = TcpListener::bind(addr).await?;
             let addr = sock.local_addr()?;
@@ -65,7 +65,7 @@
         })
     }
 
-    fn connect(&self, addr: SocketAddr) -> Local<io::Result<Box<dyn Stream>>> {
+    fn connect(&self, addr: SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>> {
         Box::pin(async move { wrap(TcpStream::connect(addr).await?) })
     }
 
@@ -73,11 +73,11 @@
         self.disk.clone().map(|d| d as Rc<dyn Disk>)
     }
 
-    fn log(&self, part: Part, text: &str) {
+    fn log(&self, part: Component, text: &str) {
         spdlog::info!("{}: {}", part.prefix(), text);
     }
 
-    fn die(&self, text: &str) {
+    fn abort_process(&self, text: &str) {
         spdlog::critical!("main: {text}");
         spdlog::default_logger().flush();
         std::process::exit(70);
@@ -95,7 +95,7 @@
 }
 
 impl Listener for Door {
-    fn accept(&self) -> Local<io::Result<Box<dyn Stream>>> {
+    fn accept(&self) -> LocalFuture<io::Result<Box<dyn Stream>>> {
         let sock = self.sock.clone();
         Box::pin(async move { wrap(sock.accept().await?.0) })
     }
@@ -116,7 +116,7 @@
 }
 
 impl Disk for Folder {
-    fn read(&self, name: &str) -> Local<io::Result<Option<Vec<u8>>>> {
+    fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>> {
         let path = self.path.join(name);
         Box::pin(async move {
             match compio::fs::read(path).await {
@@ -127,7 +127,7 @@
         })
     }
 
-    fn write(&self, name: &str, data: Vec<u8>) -> Local<io::Result<()>> {
+    fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         let (path, dir) = (self.path.join(name), self.path.clone());
         Box::pin(async move {
             let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(path).await?;
@@ -138,7 +138,7 @@
         })
     }
 
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> Local<io::Result<()>> {
+    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         let (path, dir) = (self.path.join(name), self.path.clone());
         Box::pin(async move {
             let mut file = OpenOptions::new().write(true).create(true).open(path).await?;
--- a/base/src/seam/world.rs
+++ b/base/src/runtime/traits.rs
@@ -1,9 +1,9 @@
 use std::{future::Future, io, net::SocketAddr, pin::Pin, rc::Rc, time::Duration};
 
-use super::Part;
+use super::Component;
 
 /// A boxed future that stays on its thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// A duplex byte stream that HTTP and peer links run over.
 pub trait Stream: hyper::rt::Read + hyper::rt::Write + Unpin {}
@@ -13,7 +13,7 @@
 /// A bound address that yields streams.
 pub trait Listener {
     /// Waits for the next stream.
-    fn accept(&self) -> Local<io::Result<Box<dyn Stream>>>;
+    fn accept(&self) -> LocalFuture<io::Result<Box<dyn Stream>>>;
     /// The address that was bound.
     fn addr(&self) -> SocketAddr;
 }
@@ -21,31 +21,31 @@
 /// One data folder. A call that returned `Ok` has synced what it wrote.
 pub trait Disk {
     /// Reads a whole file; `None` when there is none.
-    fn read(&self, name: &str) -> Local<io::Result<Option<Vec<u8>>>>;
+    fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>>;
     /// Replaces a whole file and syncs it.
-    fn write(&self, name: &str, data: Vec<u8>) -> Local<io::Result<()>>;
+    fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>>;
     /// Writes at an offset and syncs.
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> Local<io::Result<()>>;
+    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>>;
 }
 
 /// What a process runs in: the real machine, or a simulated one.
-pub trait World {
+pub trait Runtime {
     /// Time since some fixed start; never goes back.
     fn now(&self) -> Duration;
     /// Waits for a span.
-    fn sleep(&self, span: Duration) -> Local<()>;
+    fn sleep(&self, span: Duration) -> LocalFuture<()>;
     /// Starts a task on this thread.
-    fn spawn(&self, task: Local<()>);
+    fn spawn(&self, task: LocalFuture<()>);
     /// A random number.
     fn rand(&self) -> u64;
     /// Binds an address.
-    fn listen(&self, addr: SocketAddr) -> Local<io::Result<Rc<dyn Listener>>>;
+    fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>>;
     /// Opens a stream.
-    fn connect(&self, addr: SocketAddr) -> Local<io::Result<Box<dyn Stream>>>;
+    fn connect(&self, addr: SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>>;
     /// The data folder, if the machine has one.
     fn disk(&self) -> Option<Rc<dyn Disk>>;
     /// Writes a log line.
-    fn log(&self, part: Part, text: &str);
+    fn log(&self, part: Component, text: &str);
     /// Ends the process, as after a failed sync.
-    fn die(&self, text: &str);
+    fn abort_process(&self, text: &str);
 }
--- a/base/src/settings.rs
+++ b/base/src/settings.rs
@@ -91,21 +91,21 @@
 
 /// A process's checked place.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct NodeConfig {
     pub name: String,
-    pub area: String,
+    pub zone: String,
     pub http: SocketAddr,
     pub peer: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub platform: Option<SocketAddr>,
     pub bounds: Bounds,
     pub policy: PolicySettings,
-    pub most_sessions: usize,
-    pub most_body: usize,
-    pub most_inbox: usize,
-    pub keep_on: bool,
+    pub max_sessions: usize,
+    pub max_body_bytes: usize,
+    pub max_queued: usize,
+    pub serve_in_evacuated_zone: bool,
     pub first_start: bool,
-    pub losses: usize,
+    pub tolerated_losses: usize,
     pub zones: Vec<String>,
 }
 
@@ -139,7 +139,7 @@
 
 impl Settings {
     /// Checks every field; the faults name theirs.
-    pub fn check(&self) -> Result<Place, Vec<String>> {
+    pub fn check(&self) -> Result<NodeConfig, Vec<String>> {
         let mut bad = Vec::new();
         let mut addr = |field: &str, text: &str| match text.parse::<SocketAddr>() {
             Ok(a) => a,
@@ -193,9 +193,9 @@
         if !bad.is_empty() {
             return Err(bad);
         }
-        Ok(Place {
+        Ok(NodeConfig {
             name: self.name.clone(),
-            area: self.area.clone(),
+            zone: self.area.clone(),
             http,
             peer,
             seeds,
@@ -209,12 +209,12 @@
                 ..Bounds::default()
             },
             policy: p.clone(),
-            most_sessions: self.most_sessions as usize,
-            most_body: self.most_body as usize,
-            most_inbox: self.most_inbox as usize,
-            keep_on: self.keep_on,
+            max_sessions: self.most_sessions as usize,
+            max_body_bytes: self.most_body as usize,
+            max_queued: self.most_inbox as usize,
+            serve_in_evacuated_zone: self.keep_on,
             first_start: self.first_start,
-            losses: self.losses as usize,
+            tolerated_losses: self.losses as usize,
             zones: self.zones.clone(),
         })
     }
--- a/base/src/strict.rs
+++ b/base/src/strict.rs
@@ -5,27 +5,30 @@
 /// Why a text was refused; names the field where there is one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line} column {col}: {text}")]
-pub struct Fault {
+pub struct ParseError {
     pub line: usize,
     pub col: usize,
     pub text: String,
 }
 
 /// Reads a whole text; nothing may follow the value.
-pub fn read<T: DeJson>(text: &[u8]) -> Result<T, Fault> {
-    let text =
-        std::str::from_utf8(text).map_err(|e| Fault { line: 1, col: e.valid_up_to(), text: "not UTF-8".into() })?;
+pub fn read<T: DeJson>(text: &[u8]) -> Result<T, ParseError> {
+    let text = std::str::from_utf8(text).map_err(|e| ParseError {
+        line: 1,
+        col: e.valid_up_to(),
+        text: "not UTF-8".into(),
+    })?;
     let mut s = DeJsonState::default();
     let mut i = text.chars();
     s.next(&mut i);
     let out = s.next_tok(&mut i).and_then(|()| T::de_json(&mut s, &mut i)).map_err(fault)?;
     if s.tok != DeJsonTok::Eof {
-        return Err(Fault { line: s.line + 1, col: s.col, text: "text after the value".into() });
+        return Err(ParseError { line: s.line + 1, col: s.col, text: "text after the value".into() });
     }
     Ok(out)
 }
 
-fn fault(e: DeJsonErr) -> Fault {
+fn fault(e: DeJsonErr) -> ParseError {
     let text = match e.msg {
         DeJsonErrReason::UnexpectedKey(k) => format!("unknown or repeated field {k}"),
         DeJsonErrReason::MissingKey(k) => format!("missing field {k}"),
@@ -36,7 +39,7 @@
         DeJsonErrReason::CannotParse(k) => format!("cannot read {k}"),
         _ => "cannot read".into(),
     };
-    Fault { line: e.line + 1, col: e.col, text }
+    ParseError { line: e.line + 1, col: e.col, text }
 }
 
 /// Names the field a fault lies in.
--- a/base/src/tree.rs
+++ b/base/src/supervisor.rs
@@ -2,15 +2,15 @@
 
 use std::{future::Future, time::Duration};
 
-use crate::seam::{Env, Job, Part};
+use crate::runtime::{Component, Env, TaskGuard};
 
 /// Runs children of one parent; all end when it is dropped.
-pub struct Tree {
+pub struct Supervisor {
     env: Env,
-    jobs: Vec<Job>,
+    jobs: Vec<TaskGuard>,
 }
 
-impl Tree {
+impl Supervisor {
     /// An empty tree.
     pub fn new(env: &Env) -> Self {
         Self { env: env.clone(), jobs: Vec::new() }
@@ -28,8 +28,8 @@
             loop {
                 let start = env.now();
                 match make().await {
-                    Ok(()) => env.log(Part::Tree, format!("{name} ended; starting it again")),
-                    Err(e) => env.log(Part::Tree, format!("{name} failed: {e}; starting it again")),
+                    Ok(()) => env.log(Component::Tree, format!("{name} ended; starting it again")),
+                    Err(e) => env.log(Component::Tree, format!("{name} failed: {e}; starting it again")),
                 }
                 if env.now() - start > Duration::from_secs(5) {
                     rest = Duration::from_millis(20);
--- a/base/src/topology.rs
+++ b/base/src/topology.rs
@@ -13,9 +13,9 @@
 
 /// One process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spot {
+pub struct ProcessEntry {
     pub name: String,
-    pub area: String,
+    pub zone: String,
     pub role: Role,
     pub http: SocketAddr,
     pub peer: SocketAddr,
@@ -25,12 +25,12 @@
 const MOST: usize = 10_000;
 
 /// Reads a topology; a fault names the feature and the field.
-pub fn read(text: &str) -> Result<Vec<Spot>, String> {
+pub fn read(text: &str) -> Result<Vec<ProcessEntry>, String> {
     let all: FeatureCollection = text.parse().map_err(|e: geojson::Error| e.to_string())?;
     if all.features.len() > MOST {
         return Err(format!("features: {} of at most {MOST}", all.features.len()));
     }
-    let mut out: Vec<Spot> = Vec::new();
+    let mut out: Vec<ProcessEntry> = Vec::new();
     for (i, f) in all.features.iter().enumerate() {
         let word = |field: &str| {
             let value = f.property(field).and_then(|v| v.as_str()).filter(|v| !v.is_empty() && v.len() <= 64);
@@ -50,9 +50,9 @@
             "spoke" => Role::Spoke,
             other => return Err(format!("feature {i}: property \"role\": {other:?} is not hub or spoke")),
         };
-        let spot = Spot {
+        let spot = ProcessEntry {
             name: word("name")?.into(),
-            area: word("area")?.into(),
+            zone: word("area")?.into(),
             role,
             http: addr("http")?,
             peer: addr("peer")?,
--- a/base/tests/forms.rs
+++ b/base/tests/forms.rs
@@ -1,13 +1,13 @@
 //! The outer forms: what is read, what is refused, and how each error is answered.
 
 use base::{
-    Kind,
+    ErrorKind,
     edge::{
-        caller::Token,
-        operator::{Change, Limits, Set, check},
-        refuse,
+        client::Token,
+        error_response,
+        operator::{Configuration, ConfigurationChange, Limits, check},
     },
-    error::Kept,
+    error::WriteOutcome,
     strict,
 };
 use bolero::check as fuzz;
@@ -15,43 +15,43 @@
 #[test]
 fn every_error_has_one_row_and_a_final_answer() {
     let mut names = std::collections::BTreeSet::new();
-    for kind in Kind::ALL {
-        let row = kind.row();
+    for kind in ErrorKind::ALL {
+        let row = kind.response();
         assert!(names.insert(row.name), "{} stands twice", row.name);
-        let out = refuse(kind, "", Some(Kept::No));
-        assert_eq!(out.code, row.code);
-        assert_eq!(out.header("retry-after").is_some(), row.retry.is_some());
+        let out = error_response(kind, "", Some(WriteOutcome::NotCommitted));
+        assert_eq!(out.status, row.status);
+        assert_eq!(out.header("retry-after").is_some(), row.retry_after_s.is_some());
         // Whoever is turned away for now is told when to come back.
-        assert_eq!(row.retry.is_some(), row.code >= 500, "{}", row.name);
+        assert_eq!(row.retry_after_s.is_some(), row.status >= 500, "{}", row.name);
         assert!(String::from_utf8_lossy(&out.body).contains(row.name));
     }
     let table = include_str!("../../docs/errors.md");
-    for kind in Kind::ALL {
-        let row = kind.row();
-        let retry = row.retry.map_or("-".to_string(), |r| r.to_string());
-        let line = format!("| {} | {} | {retry} |", row.name, row.code);
+    for kind in ErrorKind::ALL {
+        let row = kind.response();
+        let retry = row.retry_after_s.map_or("-".to_string(), |r| r.to_string());
+        let line = format!("| {} | {} | {retry} |", row.name, row.status);
         assert!(table.contains(&line), "docs/errors.md lacks {line:?}");
     }
 }
 
 #[test]
 fn faults_in_a_set_are_named() {
-    let fault = |text: &str| strict::read::<Set>(text.as_bytes()).unwrap_err().to_string();
+    let fault = |text: &str| strict::read::<Configuration>(text.as_bytes()).unwrap_err().to_string();
     assert!(fault("{\"doorways\":[],\"groups\":[],\"colour\":1}").contains("colour"));
     assert!(fault("{\"doorways\":[],\"doorways\":[],\"groups\":[]}").contains("doorways"));
     assert!(fault("{\"doorways\":[]}").contains("groups"));
     assert!(fault("{\"doorways\":[],\"groups\":[]} {}").contains("after the value"));
-    assert!(strict::read::<Set>(&[0xff]).unwrap_err().to_string().contains("UTF-8"));
+    assert!(strict::read::<Configuration>(&[0xff]).unwrap_err().to_string().contains("UTF-8"));
     assert!(fault("{\"doorways\":[{\"name\":1}],\"groups\":[]}").contains("name"));
     let deep = "[".repeat(100_000);
-    assert!(strict::read::<Set>(format!("{{\"doorways\":{deep}").as_bytes()).is_err());
+    assert!(strict::read::<Configuration>(format!("{{\"doorways\":{deep}").as_bytes()).is_err());
 }
 
 #[test]
 fn all_faults_of_a_set_are_told_at_once() {
     let text = r#"{"doorways":[{"name":"a b","group":"x","promise":"soon"},{"name":"p","group":"g","promise":"any"},
         {"name":"p","group":"g","promise":"any"}],"groups":[{"name":"g","servers":["s","s"],"cap":1}]}"#;
-    let set: Set = strict::read(text.as_bytes()).unwrap();
+    let set: Configuration = strict::read(text.as_bytes()).unwrap();
     let all = check(&set.doorways, &set.groups, &Limits { statement_ms: 1, idle_ms: 10_000 }).join("\n");
     for part in [
         "\"a b\"",
@@ -79,8 +79,8 @@
 #[test]
 fn any_text_is_read_or_refused() {
     fuzz!().with_iterations(50_000).for_each(|data: &[u8]| {
-        let _ = strict::read::<Set>(data);
-        let _ = strict::read::<Change>(data);
+        let _ = strict::read::<Configuration>(data);
+        let _ = strict::read::<ConfigurationChange>(data);
         let _ = base::settings::read(data);
     });
 }
@@ -95,7 +95,7 @@
             let at = usize::from(*at) % text.len();
             text[at] = *byte;
         }
-        if let Ok(set) = strict::read::<Set>(&text) {
+        if let Ok(set) = strict::read::<Configuration>(&text) {
             let _ = check(&set.doorways, &set.groups, &set.limits.unwrap_or_default());
         }
     });
@@ -116,7 +116,7 @@
     use base::topology::{Role, read};
     let all = read(MAP).unwrap();
     assert_eq!(all.len(), 4);
-    assert_eq!((all[3].name.as_str(), all[3].role, all[3].area.as_str()), ("n1", Role::Spoke, "south"));
+    assert_eq!((all[3].name.as_str(), all[3].role, all[3].zone.as_str()), ("n1", Role::Spoke, "south"));
     let fault = |from: &str, to: &str| read(&MAP.replacen(from, to, 1)).unwrap_err();
     assert!(fault("\"h2\"", "\"h1\"").contains("feature 1: feature 0 has the name"));
     assert!(fault("127.0.0.1:5", "here").contains("feature 2: property \"http\""));
--- a/hub/src/consensus/links.rs
+++ b/hub/src/consensus/links.rs
@@ -7,8 +7,8 @@
     rc::Rc,
 };
 
-use base::seam::Job;
-use wire::{Body, Hello, In, Out};
+use base::runtime::TaskGuard;
+use wire::{Body, Hello, LinkReader, LinkWriter};
 
 use super::{Consensus, Input, PeerHello};
 
@@ -28,7 +28,7 @@
 
     /// Keeps a link to every other control node: those in the settings, the members, those that came by.
     pub async fn keep_links(self: Rc<Self>) -> Result<(), Infallible> {
-        let mut tasks: BTreeMap<SocketAddr, Job> = BTreeMap::new();
+        let mut tasks: BTreeMap<SocketAddr, TaskGuard> = BTreeMap::new();
         loop {
             self.forget_guests();
             let addresses = self.addresses();
@@ -39,7 +39,7 @@
                     self.env.spawn(async move { me.keep_link(address).await })
                 });
             }
-            self.env.sleep(self.bounds.pulse()).await;
+            self.env.sleep(self.bounds.control_heartbeat()).await;
         }
     }
 
@@ -51,7 +51,7 @@
             if connected.contains(address) {
                 *last = now;
             }
-            now < *last + self.bounds.gone() * GUEST_MEMORY
+            now < *last + self.bounds.server_gone_after() * GUEST_MEMORY
         });
     }
 
@@ -76,38 +76,38 @@
                 self.use_link(hello, input, out).await;
                 self.connected.borrow_mut().remove(&address);
             }
-            self.env.sleep(self.bounds.pulse()).await;
+            self.env.sleep(self.bounds.control_heartbeat()).await;
         }
     }
 
-    async fn dial(&self, address: SocketAddr) -> Option<(Hello, In, Out)> {
-        let span = self.bounds.call();
+    async fn dial(&self, address: SocketAddr) -> Option<(Hello, LinkReader, LinkWriter)> {
+        let span = self.bounds.call_timeout();
         let stream = self.env.connect(address, span).await.ok()?;
         let (mut input, out) = wire::open(&self.env, stream);
         let mut hello = Hello {
             name: self.identity.name.clone(),
-            area: self.identity.zone.clone(),
+            zone: self.identity.zone.clone(),
             hub: true,
             peer: self.identity.address.to_string(),
-            boot: self.boot,
-            rule: self.bounds.sum(),
+            boot_id: self.boot,
+            bounds_digest: self.bounds.digest(),
             pieces: true,
             ..Hello::default()
         };
         self.hello(&mut hello);
         out.send(Body::Hello(hello));
-        match self.env.within(span, input.next()).await {
-            Ok(Ok(Body::Hello(h))) if h.hub && self.agrees(&h.name, h.rule) => Some((h, input, out)),
+        match self.env.timeout(span, input.next()).await {
+            Ok(Ok(Body::Hello(h))) if h.hub && self.agrees(&h.name, h.bounds_digest) => Some((h, input, out)),
             _ => None,
         }
     }
 
-    async fn use_link(&self, hello: Hello, mut input: In, out: Out) {
+    async fn use_link(&self, hello: Hello, mut input: LinkReader, out: LinkWriter) {
         let name = hello.name.clone();
         self.links.borrow_mut().insert(name.clone(), out);
         let hello = PeerHello {
             name: hello.name,
-            zone: hello.area,
+            zone: hello.zone,
             address: hello.peer,
             incarnation: hello.incarnation,
             empty: hello.empty,
@@ -117,7 +117,7 @@
         };
         self.queue(Input::Connected(hello), None);
         loop {
-            match self.env.within(self.bounds.hold() * SILENT_HOLDS, input.next()).await {
+            match self.env.timeout(self.bounds.leader_hold() * SILENT_HOLDS, input.next()).await {
                 Ok(Ok(body)) => self.frame(&name, body, None),
                 Ok(Err(_)) => break,
                 // A silent link only matters to one who wants answers over it.
--- a/hub/src/consensus/service.rs
+++ b/hub/src/consensus/service.rs
@@ -9,15 +9,15 @@
 };
 
 use base::{
-    Bounds, Kind,
-    bell::Bell,
-    seam::{Env, Part},
+    Bounds, ErrorKind,
+    notify::Notify,
+    runtime::{Component, Env},
 };
 use futures::{
     StreamExt,
     channel::{mpsc, oneshot},
 };
-use wire::{Body, Hello, Image, Out, OutLead};
+use wire::{Body, Hello, Image, LinkWriter, OutstandingLease};
 
 use super::{Change, Clock, Core, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, Ticket, Timing};
 use crate::store::{DurableState, Store};
@@ -26,12 +26,12 @@
 const TICKS_PER_HEARTBEAT: u32 = 8;
 
 /// Lists the leases on groups' primaries that may still stand.
-type LeaseReporter = Box<dyn Fn() -> Vec<OutLead>>;
+type LeaseReporter = Box<dyn Fn() -> Vec<OutstandingLease>>;
 
 /// One input with the link that a reply goes out on.
 pub struct Job {
     input: Input,
-    reply: Option<Out>,
+    reply: Option<LinkWriter>,
 }
 
 /// What waits for the core.
@@ -47,9 +47,9 @@
     pub(super) core: RefCell<Core>,
     pub(super) queue: mpsc::UnboundedSender<Job>,
     /// Rung when leadership, commitment or contact moved.
-    pub bell: Bell,
+    pub bell: Notify,
     /// Links that this node dialled, by the name of the other side.
-    pub(super) links: RefCell<BTreeMap<String, Out>>,
+    pub(super) links: RefCell<BTreeMap<String, LinkWriter>>,
     /// Control nodes that dialled this node or told of themselves, and when they last did or were connected.
     pub(super) guests: RefCell<BTreeMap<SocketAddr, Duration>>,
     /// Addresses to which a link stands.
@@ -84,7 +84,7 @@
             boot,
             core: RefCell::new(core),
             queue,
-            bell: Bell::default(),
+            bell: Notify::default(),
             links: RefCell::default(),
             guests: RefCell::default(),
             connected: RefCell::default(),
@@ -121,7 +121,7 @@
         act(&mut self.core.borrow_mut(), clock)
     }
 
-    fn obey(&self, effect: Effect, reply: Option<&Out>) {
+    fn obey(&self, effect: Effect, reply: Option<&LinkWriter>) {
         match effect {
             Effect::Send { to, message } => self.send(&to, message),
             Effect::Reply(message) => {
@@ -134,7 +134,7 @@
                     let _ = done.send(outcome);
                 }
             }
-            Effect::Changed => self.bell.ring(),
+            Effect::Changed => self.bell.notify_waiters(),
             Effect::Log(text) => self.log(text),
         }
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    pub(super) fn queue(&self, input: Input, reply: Option<Out>) {
+    pub(super) fn queue(&self, input: Input, reply: Option<LinkWriter>) {
         let _ = self.queue.unbounded_send(Job { input, reply });
     }
 
@@ -161,12 +161,12 @@
                 self.queue(Input::Tick, None);
             }
             let leading = self.core.borrow().is_leader();
-            self.env.sleep(self.bounds.pulse() / if leading { 1 } else { TICKS_PER_HEARTBEAT }).await;
+            self.env.sleep(self.bounds.control_heartbeat() / if leading { 1 } else { TICKS_PER_HEARTBEAT }).await;
         }
     }
 
     /// Takes a frame from another control node.
-    pub fn frame(&self, from: &str, body: Body, reply: Option<Out>) {
+    pub fn frame(&self, from: &str, body: Body, reply: Option<LinkWriter>) {
         if let Some(message) = Message::from_body(body) {
             self.queue(Input::Message { from: from.into(), message }, reply);
         }
@@ -183,25 +183,28 @@
 
     /// Proposes a change of the image. An error that `make` gives is returned only once the image that it saw is
     /// committed and a quorum confirmed this leader after the call; `Unconfirmed` and `Unknown` come where that failed.
-    pub async fn propose(&self, make: impl FnOnce(&Image) -> Result<Image, Kind> + 'static) -> Result<Rc<Image>, Kind> {
-        let refused: Rc<Cell<Option<Kind>>> = Rc::default();
+    pub async fn propose(
+        &self,
+        make: impl FnOnce(&Image) -> Result<Image, ErrorKind> + 'static,
+    ) -> Result<Rc<Image>, ErrorKind> {
+        let refused: Rc<Cell<Option<ErrorKind>>> = Rc::default();
         let note = refused.clone();
         let change: Change = Box::new(move |image| make(image).map_err(|kind| note.set(Some(kind))).ok());
         match self.ask(|ticket| Input::Propose { ticket, change }).await {
             Outcome::Committed(image) => Ok(image),
-            Outcome::Confirmed(_) => Err(refused.take().unwrap_or(Kind::Unknown)),
-            Outcome::Unknown => Err(Kind::Unknown),
-            Outcome::Unavailable => Err(Kind::Unconfirmed),
-            Outcome::DiskFull => Err(Kind::NoRoom),
+            Outcome::Confirmed(_) => Err(refused.take().unwrap_or(ErrorKind::OutcomeUnknown)),
+            Outcome::Unknown => Err(ErrorKind::OutcomeUnknown),
+            Outcome::Unavailable => Err(ErrorKind::Unconfirmed),
+            Outcome::DiskFull => Err(ErrorKind::DiskFull),
         }
     }
 
     /// The newest committed image, once a quorum has confirmed after this call that this node still leads.
-    pub async fn confirm(&self) -> Result<Rc<Image>, Kind> {
+    pub async fn confirm(&self) -> Result<Rc<Image>, ErrorKind> {
         let outcome = self.ask(|ticket| Input::Read { ticket });
-        match self.env.within(self.bounds.call(), outcome).await {
+        match self.env.timeout(self.bounds.call_timeout(), outcome).await {
             Ok(Outcome::Confirmed(image) | Outcome::Committed(image)) => Ok(image),
-            _ => Err(Kind::Unconfirmed),
+            _ => Err(ErrorKind::Unconfirmed),
         }
     }
 
@@ -209,8 +212,8 @@
     /// process ends.
     pub async fn leave(&self) {
         self.queue(Input::Leave, None);
-        let gone = self.bell.until(|| self.core.borrow().may_end().then_some(()));
-        let _ = self.env.within(self.bounds.call() * 2, gone).await;
+        let gone = self.bell.wait_until(|| self.core.borrow().may_end().then_some(()));
+        let _ = self.env.timeout(self.bounds.call_timeout() * 2, gone).await;
     }
 
     /// Whether this node leads for sure: its term is committed and a quorum was heard within the lease.
@@ -244,7 +247,7 @@
     }
 
     /// Sets what lists the leases on groups' primaries, for a successor.
-    pub fn report_leases(&self, report: impl Fn() -> Vec<OutLead> + 'static) {
+    pub fn report_leases(&self, report: impl Fn() -> Vec<OutstandingLease> + 'static) {
         *self.lease_reporter.borrow_mut() = Some(Box::new(report));
     }
 
@@ -265,7 +268,7 @@
 
     /// Whether another process counts by the same bounds; leases and holds rest on that.
     pub fn agrees(&self, name: &str, rule: u64) -> bool {
-        let differs = rule != 0 && rule != self.bounds.sum() && !self.guards.any_bounds;
+        let differs = rule != 0 && rule != self.bounds.digest() && !self.guards.any_bounds;
         if differs && self.other_bounds.borrow_mut().insert(name.into()) {
             self.log(format!("{name} counts by other bounds; it is not dealt with"));
         }
@@ -276,6 +279,6 @@
     }
 
     fn log(&self, text: impl AsRef<str>) {
-        self.env.log(Part::Agree, text);
+        self.env.log(Component::Agree, text);
     }
 }
--- a/hub/src/consensus/types.rs
+++ b/hub/src/consensus/types.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use base::Bounds;
-use wire::{Body, Heartbeat, HeartbeatAck, Image, OutLead, VoteRequest, VoteResponse};
+use wire::{Body, Heartbeat, HeartbeatAck, Image, OutstandingLease, VoteRequest, VoteResponse};
 
 /// Who a control node is to the others.
 #[derive(Clone, Debug)]
@@ -37,12 +37,12 @@
     /// The spans that follow from the bounds in the settings.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
-            heartbeat: bounds.pulse(),
-            hold: bounds.hold(),
-            lease: bounds.lead(),
-            image_patience: bounds.hold() * 2,
-            quorum_patience: bounds.hold() * 3 / 2,
-            replace_after: bounds.gone(),
+            heartbeat: bounds.control_heartbeat(),
+            hold: bounds.leader_hold(),
+            lease: bounds.leader_lease(),
+            image_patience: bounds.leader_hold() * 2,
+            quorum_patience: bounds.leader_hold() * 3 / 2,
+            replace_after: bounds.server_gone_after(),
         }
     }
 }
@@ -184,5 +184,5 @@
     pub term: u64,
     /// When they were told.
     pub at: Duration,
-    pub leases: Vec<OutLead>,
+    pub leases: Vec<OutstandingLease>,
 }
--- a/hub/src/door.rs
+++ b/hub/src/door.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 
 use base::{
-    Kind,
-    edge::refuse,
-    http::{Ask, Return, Session},
+    ErrorKind,
+    edge::error_response,
+    http::{HttpRequest, HttpResponse, RequestHandler},
     loop_lag::LoopLag,
     metrics,
-    seam::Local,
+    runtime::LocalFuture,
 };
 use wire::relay::Relay;
 
@@ -21,21 +21,21 @@
     pub lag: Rc<LoopLag>,
 }
 
-impl Session for Desk {
-    fn call(&self, ask: Ask) -> Local<Return> {
+impl RequestHandler for Desk {
+    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let (relay, consensus, lag) = (self.relay.clone(), self.consensus.clone(), self.lag.clone());
         Box::pin(async move {
-            match ask.parts()[..] {
+            match ask.path_segments()[..] {
                 ["status"] => status(&relay, &consensus),
-                ["db", ..] => refuse(Kind::NoPath, "callers are served by spokes", None),
+                ["db", ..] => error_response(ErrorKind::NoPath, "callers are served by spokes", None),
                 ["metrics"] => metrics(&relay, &consensus, &lag),
-                _ => relay.pass(ask).await,
+                _ => relay.forward(ask).await,
             }
         })
     }
 }
 
-fn metrics(relay: &Relay, consensus: &Consensus, lag: &LoopLag) -> Return {
+fn metrics(relay: &Relay, consensus: &Consensus, lag: &LoopLag) -> HttpResponse {
     let empty = consensus.empty();
     let sequence = consensus.image().map_or(0, |i| i.sequence);
     metrics::page(&[
@@ -44,35 +44,35 @@
         ("hub_blank", "gauge", "1 while its disk's memory does not count", u64::from(empty)),
         ("hub_sequence", "gauge", "the newest doorway set's sequence, while leading", sequence),
         ("hub_children", "gauge", "nodes whose parent it is", relay.children().len() as u64),
-        ("corrupt_frames_total", "counter", "links closed on a corrupt frame", relay.corrupt.get()),
-        ("relayed_frames_total", "counter", "frames handed on for others", relay.handed.get()),
+        ("corrupt_frames_total", "counter", "links closed on a corrupt frame", relay.corrupt_frames.get()),
+        ("relayed_frames_total", "counter", "frames handed on for others", relay.forwarded_frames.get()),
         (
             "parent_searches_failed_total",
             "counter",
             "searches for a parent without one",
-            relay.search_counts.failed.get(),
+            relay.search_counters.failed.get(),
         ),
         ("loop_lag_ms", "gauge", "how late tasks ran when last measured", lag.newest().as_millis() as u64),
         ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", lag.worst().as_millis() as u64),
     ])
 }
 
-fn status(relay: &Relay, consensus: &Consensus) -> Return {
-    let (parent, depth) = relay.place();
+fn status(relay: &Relay, consensus: &Consensus) -> HttpResponse {
+    let (parent, depth) = relay.tree_position();
     let empty = consensus.empty();
     let text = format!(
         "{{\"name\":\"{}\",\"area\":\"{}\",\"hub\":true,\"leads\":{},\"leader\":\"{}\",\"term\":{},\"blank\":{},\"fed\":{},\"parent\":\"{}\",\"depth\":{},\"children\":{},\"corrupt\":{}}}",
-        relay.who.name,
-        relay.who.area,
+        relay.identity.name,
+        relay.identity.zone,
         consensus.leads(),
         consensus.leader(),
         consensus.term().0,
         empty,
-        relay.fed(),
+        relay.reaches_leader(),
         parent,
         depth,
         relay.children().len(),
-        relay.corrupt.get(),
+        relay.corrupt_frames.get(),
     );
-    Return::new(200, text).with("content-type", "application/json")
+    HttpResponse::new(200, text).with_header("content-type", "application/json")
 }
--- a/hub/src/entrance.rs
+++ b/hub/src/entrance.rs
@@ -3,9 +3,9 @@
 use std::{pin::pin, rc::Rc, time::Duration};
 
 use base::{
-    Bounds, Env, Kind,
-    edge::refuse,
-    http::{Ask, Return},
+    Bounds, Env, ErrorKind,
+    edge::error_response,
+    http::{HttpRequest, HttpResponse},
 };
 use futures::future::{Either, select};
 use wire::relay::Relay;
@@ -36,22 +36,22 @@
 impl Entrance {
     /// Hands a request to the leading hub, and once more where the way was lost meanwhile or no answer comes: a node
     /// on the way that lost its own parent drops what it can't hand on.
-    pub async fn pass(&self, ask: Ask) -> Return {
+    pub async fn pass(&self, ask: HttpRequest) -> HttpResponse {
         let end = self.env.now() + self.patience();
         let mut sent = false;
         loop {
             let way = self.way();
             if way != Way::Nowhere {
                 sent = true;
-                let answer = pin!(self.relay.pass(ask.clone()));
-                let lost = pin!(self.env.within(self.resend(), self.changed(&way)));
+                let answer = pin!(self.relay.forward(ask.clone()));
+                let lost = pin!(self.env.timeout(self.resend(), self.changed(&way)));
                 if let Either::Left((ret, _)) = select(answer, lost).await {
                     return ret;
                 }
             }
             if self.env.now() >= end {
-                let kind = if sent { Kind::Unknown } else { Kind::Unconfirmed };
-                return refuse(kind, "no way to the leading hub", None);
+                let kind = if sent { ErrorKind::OutcomeUnknown } else { ErrorKind::Unconfirmed };
+                return error_response(kind, "no way to the leading hub", None);
             }
             self.env.sleep(self.step()).await;
         }
@@ -59,7 +59,7 @@
 
     /// How long a way is looked for: callers wait for a second.
     fn patience(&self) -> Duration {
-        self.bounds.call() * 3 / 2
+        self.bounds.call_timeout() * 3 / 2
     }
 
     /// After how long without an answer a request is sent up again: a third of the patience.
@@ -69,15 +69,15 @@
 
     /// How often the way is looked at.
     fn step(&self) -> Duration {
-        self.bounds.pulse() / 4
+        self.bounds.control_heartbeat() / 4
     }
 
     fn way(&self) -> Way {
         if self.consensus.leads() {
             return Way::Here;
         }
-        match self.relay.place() {
-            (parent, _) if parent.is_empty() || !self.relay.fed() => Way::Nowhere,
+        match self.relay.tree_position() {
+            (parent, _) if parent.is_empty() || !self.relay.reaches_leader() => Way::Nowhere,
             (parent, depth) => Way::Over(parent, depth),
         }
     }
--- a/hub/src/leadership/enrolment.rs
+++ b/hub/src/leadership/enrolment.rs
@@ -1,5 +1,5 @@
-use base::{Kind, seam::Part};
-use wire::{Group, Image, Membership, Spot};
+use base::{ErrorKind, runtime::Component};
+use wire::{Group, GroupMembership, Image, ServerAddress};
 
 use super::Leadership;
 
@@ -9,7 +9,7 @@
     server: String,
     /// Whose address it has.
     replaces: Option<String>,
-    spot: Spot,
+    spot: ServerAddress,
 }
 
 impl Recruit {
@@ -29,7 +29,7 @@
     /// must read does not shrink.
     pub(super) async fn enrol_servers(&self) {
         loop {
-            self.env.sleep(self.bounds.pulse() / 2).await;
+            self.env.sleep(self.bounds.control_heartbeat() / 2).await;
             let Some(image) = self.consensus.image() else { continue };
             if !self.consensus.leads() {
                 continue;
@@ -38,7 +38,7 @@
             if let Some((group, old)) = open().find_map(|g| self.dismissed(g)) {
                 let text = format!("{old} has left {group}: what it held is held by those who stay");
                 if self.consensus.propose(move |image| dismiss(image, &group, &old)).await.is_ok() {
-                    self.log(Part::Elect, text);
+                    self.log(Component::Elect, text);
                     self.publish_soon();
                 }
                 continue;
@@ -53,7 +53,7 @@
                 .extend(complete.iter().map(|m| format!("the {} servers of {} are all there are", m.servers, m.group)));
             let moved = !recruits.is_empty();
             if self.consensus.propose(move |image| enrol(image, &recruits, &complete)).await.is_ok() {
-                lines.iter().for_each(|l| self.log(Part::Elect, l));
+                lines.iter().for_each(|l| self.log(Component::Elect, l));
                 if moved {
                     self.publish_soon();
                 }
@@ -67,10 +67,12 @@
         let told = self.servers.borrow();
         let talks = self.talks.borrow();
         let lead = self.standings.borrow().get(&g.name).filter(|s| s.granting)?.server.clone();
-        let (asked, head) = talks.get(&lead)?.row.filter(|(_, r)| r.leads)?;
+        let (asked, head) = talks.get(&lead)?.row.filter(|(_, r)| r.is_primary)?;
         let gone = g.servers.iter().find(|s| **s != lead && told.get(*s).is_some_and(|t| t.left && t.heard < asked))?;
         let holds = |s: &&String| {
-            **s != lead && *s != gone && talks.get(*s).and_then(|t| t.row).is_some_and(|(_, r)| r.place >= head.place)
+            **s != lead
+                && *s != gone
+                && talks.get(*s).and_then(|t| t.row).is_some_and(|(_, r)| r.position >= head.position)
         };
         g.servers.iter().find(holds)?;
         Some((g.name.clone(), gone.clone()))
@@ -90,16 +92,16 @@
 }
 
 /// Takes a server out; whether the list that is left is complete has to be found anew.
-fn dismiss(image: &Image, group: &str, old: &str) -> Result<Image, Kind> {
+fn dismiss(image: &Image, group: &str, old: &str) -> Result<Image, ErrorKind> {
     let mut image = image.clone();
-    let g = image.groups.iter_mut().find(|g| g.name == group).ok_or(Kind::Conflict)?;
+    let g = image.groups.iter_mut().find(|g| g.name == group).ok_or(ErrorKind::VersionConflict)?;
     g.servers.retain(|s| s != old);
-    image.spots.retain(|s| s.server != old);
-    image.memberships.iter_mut().filter(|m| m.group == group).for_each(|m| m.servers = 0);
+    image.server_addresses.retain(|s| s.server != old);
+    image.group_memberships.iter_mut().filter(|m| m.group == group).for_each(|m| m.servers = 0);
     Ok(image)
 }
 
-fn enrol(image: &Image, recruits: &[Recruit], complete: &[Membership]) -> Result<Image, Kind> {
+fn enrol(image: &Image, recruits: &[Recruit], complete: &[GroupMembership]) -> Result<Image, ErrorKind> {
     let mut image = image.clone();
     for r in recruits {
         let Some(g) = image.groups.iter_mut().find(|g| g.name == r.group) else { continue };
@@ -108,18 +110,18 @@
         }
         g.servers.retain(|s| Some(s) != r.replaces.as_ref());
         g.servers.push(r.server.clone());
-        image.spots.retain(|s| s.server != r.server);
-        image.spots.push(r.spot.clone());
+        image.server_addresses.retain(|s| s.server != r.server);
+        image.server_addresses.push(r.spot.clone());
     }
     for m in complete {
         // A list that changed meanwhile is looked at again.
         let same = image.groups.iter().any(|g| g.name == m.group && g.servers.len() as u64 == m.servers);
-        image.memberships.retain(|old| old.group != m.group);
+        image.group_memberships.retain(|old| old.group != m.group);
         if same {
-            image.memberships.push(m.clone());
+            image.group_memberships.push(m.clone());
         }
     }
     let kept: Vec<&String> = image.groups.iter().flat_map(|g| &g.servers).collect();
-    image.spots.retain(|s| kept.contains(&&s.server));
+    image.server_addresses.retain(|s| kept.contains(&&s.server));
     Ok(image)
 }
--- a/hub/src/leadership/failover.rs
+++ b/hub/src/leadership/failover.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use base::{
-    seam::Part,
-    talk::{Act, Naming},
-    words::Position,
+    position::Position,
+    protocol::{Promotion, StatementKind},
+    runtime::Component,
 };
-use wire::{Elect, Group, Image};
+use wire::{Election, Group, Image};
 
 use super::Leadership;
 
@@ -40,10 +40,10 @@
             let t = told.get(s)?;
             (asked >= since).then(|| PrimarySight {
                 name: s.clone(),
-                leads: row.leads,
-                line: row.line,
-                place: row.place,
-                fit: !t.draining && !t.gone && !image.emptied.contains(&t.area),
+                leads: row.is_primary,
+                line: row.epoch,
+                place: row.position,
+                fit: !t.draining && !t.gone && !image.evacuated_zones.contains(&t.area),
                 cold: (t.cold * 20.0) as u32,
             })
         };
@@ -51,7 +51,7 @@
     }
 
     fn primary(&self, g: &Group, image: &Image) -> Option<PrimarySight> {
-        let since = self.env.now().saturating_sub(self.bounds.missed());
+        let since = self.env.now().saturating_sub(self.bounds.server_missed_after());
         self.sighted(g, image, since).into_iter().filter(|s| s.leads).max_by_key(|s| s.line)
     }
 
@@ -59,8 +59,8 @@
     /// listens at its address any more, waiting longer tells nothing.
     pub(super) fn silent(&self, server: &str) -> Duration {
         let now = self.env.now();
-        let fresh = now.saturating_sub(self.bounds.beat() * 4);
-        let shut = self.bounds.missed() * 2;
+        let fresh = now.saturating_sub(self.bounds.node_heartbeat() * 4);
+        let shut = self.bounds.server_missed_after() * 2;
         let own = match self.talks.borrow().get(server) {
             Some(t) if t.refused > 1 => shut,
             Some(t) => t.open.map_or(Duration::ZERO, |t| now.saturating_sub(t)),
@@ -69,7 +69,7 @@
         let mut ages = vec![own];
         for seat in self.seats.borrow().values().filter(|s| !s.hub && s.heard > fresh) {
             if let Some(x) = seat.sights.get(server) {
-                let late = now.saturating_sub(seat.heard).saturating_sub(self.bounds.beat());
+                let late = now.saturating_sub(seat.heard).saturating_sub(self.bounds.node_heartbeat());
                 ages.push(if x.refused { shut } else { Duration::from_millis(x.age) + late });
             }
         }
@@ -78,12 +78,12 @@
     }
 
     /// A node tells of a grant that an earlier leading hub gave: all that were out with it named the same server.
-    pub(super) fn note_held_lease(&self, l: &wire::Lead) {
+    pub(super) fn note_held_lease(&self, l: &wire::PrimaryLeaseGrant) {
         let mut all = self.standings.borrow_mut();
         let Some(st) = all.get_mut(&l.group) else { return };
         if st.server.is_empty() && !st.closed {
             st.server.clone_from(&l.server);
-            st.line = l.line;
+            st.line = l.epoch;
             st.granting = true;
             st.proven = true;
         }
@@ -102,9 +102,9 @@
             s.why = why.into();
         });
         if was {
-            self.log(Part::Elect, format!("grants of {group} are called back: {why}"));
-            self.relay.call();
-            self.bell.ring();
+            self.log(Component::Elect, format!("grants of {group} are called back: {why}"));
+            self.relay.request_heartbeats();
+            self.bell.notify_waiters();
         }
     }
 
@@ -114,12 +114,12 @@
         let now = self.env.now();
         let prim = self.primary(g, image);
         if st.server.is_empty()
-            && let Some(e) = image.elect(&g.name).filter(|e| g.servers.contains(&e.server))
+            && let Some(e) = image.election(&g.name).filter(|e| g.servers.contains(&e.server))
         {
             // Grants were given for no other since that was written down.
             st.server.clone_from(&e.server);
-            st.line = e.line;
-            self.edit(&g.name, |s| (s.server, s.line) = (e.server.clone(), e.line));
+            st.line = e.epoch;
+            self.edit(&g.name, |s| (s.server, s.line) = (e.server.clone(), e.epoch));
         }
         if let Some(p) = &prim {
             self.fence(g, p, &st).await;
@@ -130,42 +130,42 @@
                 if p.line > st.line {
                     self.edit(&g.name, |s| s.line = p.line);
                 }
-                if image.elect(&g.name).is_none_or(|e| e.server != p.name || e.line != p.line) {
+                if image.election(&g.name).is_none_or(|e| e.server != p.name || e.epoch != p.line) {
                     self.write_down(g, p).await;
                 }
             }
         }
         if st.server.is_empty() {
             // Nobody says that it leads, and no node holds a grant.
-            let known = g.servers.len() > 1 && now > self.consensus.term().1 + self.bounds.missed() * 2;
+            let known = g.servers.len() > 1 && now > self.consensus.term().1 + self.bounds.server_missed_after() * 2;
             if known && prim.is_none() && self.leases.borrow().primary_free(&g.name, now) {
                 self.fail_over(g, "").await;
             }
             return;
         }
         let silent = self.silent(&st.server);
-        if silent > self.bounds.missed() {
+        if silent > self.bounds.server_missed_after() {
             self.withdraw(&g.name, &format!("{} does not answer", st.server));
             self.fail_over(g, &st.server).await;
             return;
         }
         let told = self.servers.borrow().get(&st.server).cloned();
-        let away = told.is_none_or(|t| t.draining || t.left || image.emptied.contains(&t.area));
+        let away = told.is_none_or(|t| t.draining || t.left || image.evacuated_zones.contains(&t.area));
         let wish = st.wish.clone().filter(|w| *w != st.server && g.servers.contains(w));
         if away || wish.is_some() {
             self.hand_over(g, image, &st.server, wish).await;
             return;
         }
         let leads = prim.as_ref().map_or(st.proven, |p| p.name == st.server);
-        let granting = leads && silent < self.bounds.missed() / 2;
+        let granting = leads && silent < self.bounds.server_missed_after() / 2;
         if granting != st.granting {
             self.edit(&g.name, |s| {
                 s.granting = granting;
                 s.proven = granting;
                 s.closed = false;
             });
-            self.log(Part::Elect, format!("{} {}", st.server, if granting { "is seen" } else { "is missed" }));
-            self.relay.call();
+            self.log(Component::Elect, format!("{} {}", st.server, if granting { "is seen" } else { "is missed" }));
+            self.relay.request_heartbeats();
         }
         if leads && !st.unclear {
             self.free_held(g, &st.server);
@@ -178,7 +178,7 @@
         let is_held = |s: &&String| {
             let talks = self.talks.borrow();
             let talk = talks.get(*s);
-            talk.is_some_and(|t| t.held.is_some() || matches!(t.order, Some(Act::Hold { .. })))
+            talk.is_some_and(|t| t.held.is_some() || matches!(t.order, Some(StatementKind::SuspendReplication { .. })))
         };
         let others = g.servers.iter().filter(|s| *s != leader);
         let held: Vec<String> = others.filter(is_held).cloned().collect();
@@ -188,10 +188,10 @@
     /// A leader that some nodes can't reach, while another fit server is in sight of more, is to hand over to that one.
     fn watch_confirming_reach(&self, g: &Group, image: &Image, st: &super::GroupLeadership) {
         let now = self.env.now();
-        let fresh = now.saturating_sub(self.bounds.beat() * 4);
+        let fresh = now.saturating_sub(self.bounds.node_heartbeat() * 4);
         let blind = |s: &str| {
             let seats = self.seats.borrow();
-            let late = self.bounds.missed().as_millis() as u64 * 2 / 3;
+            let late = self.bounds.server_missed_after().as_millis() as u64 * 2 / 3;
             let miss = |x: &super::NodeRecord| x.sights.get(s).is_some_and(|y| y.age > late || y.refused);
             seats.values().filter(|x| !x.hub && x.heard > fresh && miss(x)).count()
         };
@@ -203,11 +203,14 @@
         };
         let since = st.dim.unwrap_or(now);
         // A single node's word may be chance.
-        let long = if own > 1 { self.bounds.missed() / 2 } else { self.bounds.missed() * 2 };
-        let ripe = now - since > long && now - st.since > self.bounds.gone() * 2;
+        let long = if own > 1 { self.bounds.server_missed_after() / 2 } else { self.bounds.server_missed_after() * 2 };
+        let ripe = now - since > long && now - st.since > self.bounds.server_gone_after() * 2;
         self.edit(&g.name, |s| s.dim = Some(since));
         if ripe {
-            self.log(Part::Elect, format!("{own} nodes can't reach {}; {} is in sight of more", st.server, other.name));
+            self.log(
+                Component::Elect,
+                format!("{own} nodes can't reach {}; {} is in sight of more", st.server, other.name),
+            );
             self.edit(&g.name, |s| {
                 s.dim = None;
                 s.wish = Some(other.name.clone());
@@ -218,10 +221,15 @@
     /// Writes down who leads before any grant for it is given: whoever leads the hubs later and sees that same server
     /// lead on that line knows that no grant for another can be out.
     async fn write_down(&self, g: &Group, p: &PrimarySight) -> bool {
-        let before = self.consensus.image().and_then(|i| i.elect(&g.name).cloned());
-        let (index, from) = (p.place.index, p.place.line);
-        let put =
-            Elect { group: g.name.clone(), line: p.line, server: p.name.clone(), from_line: from, from_index: index };
+        let before = self.consensus.image().and_then(|i| i.election(&g.name).cloned());
+        let (index, from) = (p.place.index, p.place.epoch);
+        let put = Election {
+            group: g.name.clone(),
+            epoch: p.line,
+            server: p.name.clone(),
+            start_epoch: from,
+            start_index: index,
+        };
         self.write_elect(put, before).await
     }
 
@@ -230,24 +238,24 @@
         if st.granting {
             self.withdraw(&g.name, &format!("{} leads on line {}", p.name, p.line));
         }
-        let noted = image.elect(&g.name).cloned();
+        let noted = image.election(&g.name).cloned();
         // Nothing was ever granted for a group of which nothing is written down.
-        let known = noted.as_ref().is_none_or(|e| e.server == p.name && e.line == p.line);
+        let known = noted.as_ref().is_none_or(|e| e.server == p.name && e.epoch == p.line);
         let out = || self.leases.borrow().primary_handed_back(&g.name, self.env.now(), known) || self.disabled.no_wait;
         for _ in 0..20 {
             if out() {
                 break;
             }
-            self.env.sleep(self.bounds.pulse() / 20).await;
+            self.env.sleep(self.bounds.control_heartbeat() / 20).await;
         }
         if !out() || !self.consensus.leads() {
             return;
         }
-        if noted.is_none_or(|e| e.server != p.name || e.line != p.line) && !self.write_down(g, p).await {
+        if noted.is_none_or(|e| e.server != p.name || e.epoch != p.line) && !self.write_down(g, p).await {
             return;
         }
         let now = self.env.now();
-        self.log(Part::Elect, format!("{} leads {} on line {}", p.name, g.name, p.line));
+        self.log(Component::Elect, format!("{} leads {} on line {}", p.name, g.name, p.line));
         self.edit(&g.name, |s| {
             s.server.clone_from(&p.name);
             s.line = p.line;
@@ -260,9 +268,9 @@
         });
         // Whoever was kept from receiving for this election receives again.
         let others = g.servers.iter().filter(|s| **s != p.name);
-        others.for_each(|s| self.order(s, Act::Free));
-        self.relay.call();
-        self.bell.ring();
+        others.for_each(|s| self.order(s, StatementKind::ResumeReplication));
+        self.relay.request_heartbeats();
+        self.bell.notify_waiters();
     }
 
     /// Once a term: the platform hears of this holder by naming the one that leads anyway, so that a call of an earlier
@@ -282,8 +290,11 @@
                     self.edit(&g.name, |s| s.fenced = Some(self.env.now()));
                 }
             }
-            Some(t) if !st.freed && now > t + self.bounds.grant() => {
-                g.servers.iter().filter(|s| **s != p.name).for_each(|s| self.order(s, Act::Free));
+            Some(t) if !st.freed && now > t + self.bounds.lease_duration() => {
+                g.servers
+                    .iter()
+                    .filter(|s| **s != p.name)
+                    .for_each(|s| self.order(s, StatementKind::ResumeReplication));
                 self.edit(&g.name, |s| s.freed = true);
             }
             Some(_) => {}
@@ -297,13 +308,13 @@
     }
 
     /// Gives an order to a server, to be carried out on this hub's connection to it.
-    fn order(&self, server: &str, act: Act) {
+    fn order(&self, server: &str, act: StatementKind) {
         let mut all = self.talks.borrow_mut();
         let t = all.entry(server.into()).or_default();
         t.order = Some(act);
         t.held = None;
         drop(all);
-        self.bell.ring();
+        self.bell.notify_waiters();
     }
 
     /// A number that rises with the term and with each naming of another server in it: a call whose answer was lost may
@@ -321,24 +332,24 @@
     /// Calls the platform; the answer's code.
     async fn promote(&self, g: &Group, server: &str) -> Option<u16> {
         let (addr, manner) = (self.platform.get()?, self.manner.clone()?);
-        let naming = Naming {
+        let naming = Promotion {
             group: g.name.clone(),
             server: server.into(),
-            holder: self.relay.who.name.clone(),
-            fence: self.fencing_token(&g.name, server),
+            holder: self.relay.identity.name.clone(),
+            fencing_token: self.fencing_token(&g.name, server),
         };
-        let out = manner.name(&self.env, addr, &naming, self.bounds.call()).await;
+        let out = manner.promote(&self.env, addr, &naming, self.bounds.call_timeout()).await;
         match out {
             Ok(200) => Some(200),
             Ok(code) => {
                 // Only a refusal is sure not to be carried out.
                 self.edit(&g.name, |s| s.unclear |= code >= 500);
-                self.log(Part::Elect, format!("the platform answered {code} to naming {server}"));
+                self.log(Component::Elect, format!("the platform answered {code} to naming {server}"));
                 Some(code)
             }
             Err(e) => {
                 self.edit(&g.name, |s| s.unclear = true);
-                self.log(Part::Elect, format!("the call naming {server} failed: {e}"));
+                self.log(Component::Elect, format!("the call naming {server} failed: {e}"));
                 None
             }
         }
@@ -346,23 +357,23 @@
 
     /// Waits until each of these servers has shown that it receives nothing more; the newest place among them.
     async fn hold_all(&self, names: &[String], line: u64, span: Duration) -> Option<Position> {
-        names.iter().for_each(|s| self.order(s, Act::Hold { line }));
+        names.iter().for_each(|s| self.order(s, StatementKind::SuspendReplication { line }));
         self.urgent.set(self.env.now() + span);
-        let all = self.bell.until(|| {
+        let all = self.bell.wait_until(|| {
             let talks = self.talks.borrow();
             let rows: Vec<_> = names.iter().filter_map(|s| talks.get(s)?.held).collect();
-            (rows.len() == names.len()).then(|| rows.iter().map(|r| r.place).max().unwrap_or_default())
+            (rows.len() == names.len()).then(|| rows.iter().map(|r| r.position).max().unwrap_or_default())
         });
-        self.env.within(span, all).await.ok()
+        self.env.timeout(span, all).await.ok()
     }
 
     fn free_all(&self, names: &[String]) {
-        names.iter().for_each(|s| self.order(s, Act::Free));
+        names.iter().for_each(|s| self.order(s, StatementKind::ResumeReplication));
     }
 
     fn newest(&self, g: &Group) -> u64 {
         let talks = self.talks.borrow();
-        let lines = g.servers.iter().filter_map(|s| Some(talks.get(s)?.row?.1.line));
+        let lines = g.servers.iter().filter_map(|s| Some(talks.get(s)?.row?.1.epoch));
         lines.max().unwrap_or(0).max(self.stand(&g.name).line)
     }
 
@@ -382,7 +393,7 @@
         }
         self.edit(&g.name, |s| s.waits_for_list = false);
         let line = self.newest(g) + 1;
-        self.log(Part::Elect, format!("new leader needed for {}", g.name));
+        self.log(Component::Elect, format!("new leader needed for {}", g.name));
         if self.disabled.no_hold {
             let alive = |s: &&String| self.talks.borrow().get(*s).is_some_and(|t| t.open.is_none());
             let some = others.iter().find(alive).cloned();
@@ -394,18 +405,18 @@
         }
         if lost.is_empty() {
             // Nobody is known to have led: all but one must answer.
-            others.iter().for_each(|s| self.order(s, Act::Hold { line }));
-            self.urgent.set(self.env.now() + self.bounds.gone());
-            self.env.sleep(self.bounds.gone()).await;
+            others.iter().for_each(|s| self.order(s, StatementKind::SuspendReplication { line }));
+            self.urgent.set(self.env.now() + self.bounds.server_gone_after());
+            self.env.sleep(self.bounds.server_gone_after()).await;
             let held = others.iter().filter(|s| self.talks.borrow().get(*s).is_some_and(|t| t.held.is_some())).count();
             if held < need {
                 return self.free_all(&others);
             }
-        } else if self.hold_all(&others, line, self.bounds.gone()).await.is_none() {
+        } else if self.hold_all(&others, line, self.bounds.server_gone_after()).await.is_none() {
             let missing = others.iter().filter(|s| self.talks.borrow().get(*s).is_none_or(|t| t.held.is_none()));
             let missing: Vec<_> = missing.cloned().collect();
-            self.log(Part::Elect, format!("{} can't be read; no leader for {} yet", missing.join(" "), g.name));
-            if self.silent(lost) < self.bounds.missed() {
+            self.log(Component::Elect, format!("{} can't be read; no leader for {} yet", missing.join(" "), g.name));
+            if self.silent(lost) < self.bounds.server_missed_after() {
                 self.free_all(&others);
             }
             return;
@@ -413,13 +424,13 @@
         if !self.consensus.leads() {
             return;
         }
-        if self.silent(lost) < self.bounds.missed() && !lost.is_empty() {
-            self.log(Part::Elect, format!("{lost} answers again"));
+        if self.silent(lost) < self.bounds.server_missed_after() && !lost.is_empty() {
+            self.log(Component::Elect, format!("{lost} answers again"));
             return self.free_all(&others);
         }
         if !self.list_stands(g) {
             // Whoever came meanwhile is to be kept from receiving and read too.
-            return self.log(Part::Elect, format!("the servers of {} changed; its election begins anew", g.name));
+            return self.log(Component::Elect, format!("the servers of {} changed; its election begins anew", g.name));
         }
         let best = {
             let talks = self.talks.borrow();
@@ -427,13 +438,13 @@
             let image = self.consensus.image();
             let rows = others.iter().filter_map(|s| Some((s.clone(), talks.get(s)?.held?)));
             let fit = |s: &String| {
-                let out = |a: &String| image.as_ref().is_some_and(|i| i.emptied.contains(a));
+                let out = |a: &String| image.as_ref().is_some_and(|i| i.evacuated_zones.contains(a));
                 told.get(s).is_some_and(|t| !t.draining && !t.gone && !out(&t.area))
             };
-            rows.max_by_key(|(s, r)| (r.place, fit(s))).map(|x| x.0)
+            rows.max_by_key(|(s, r)| (r.position, fit(s))).map(|x| x.0)
         };
         let Some(best) = best else { return };
-        self.log(Part::Elect, format!("naming {best} for {}", g.name));
+        self.log(Component::Elect, format!("naming {best} for {}", g.name));
         if self.promote(g, &best).await != Some(200) {
             return;
         }
@@ -443,23 +454,23 @@
     /// Notes that an election waits until the list of a group's servers is complete.
     fn wait_for_list(&self, group: &str) {
         if !self.stand(group).waits_for_list {
-            self.log(Part::Elect, format!("{group}: a server may not be listed yet; no election"));
+            self.log(Component::Elect, format!("{group}: a server may not be listed yet; no election"));
         }
         self.edit(group, |s| s.waits_for_list = true);
     }
 
     /// Waits for the named server to be seen leading.
     async fn await_leader(&self, g: &Group, server: &str, line: u64) -> bool {
-        let span = self.bounds.gone();
+        let span = self.bounds.server_gone_after();
         self.urgent.set(self.env.now() + span);
         let leads = |s: &str| {
             let talks = self.talks.borrow();
-            talks.get(s).and_then(|t| t.row).is_some_and(|(_, r)| r.leads && r.line >= line)
+            talks.get(s).and_then(|t| t.row).is_some_and(|(_, r)| r.is_primary && r.epoch >= line)
         };
-        let wait = self.bell.until(|| leads(server).then_some(()));
-        let out = self.env.within(span, wait).await.is_ok();
+        let wait = self.bell.wait_until(|| leads(server).then_some(()));
+        let out = self.env.timeout(span, wait).await.is_ok();
         if !out {
-            self.log(Part::Elect, format!("{server} does not lead {} yet", g.name));
+            self.log(Component::Elect, format!("{server} does not lead {} yet", g.name));
         }
         out
     }
@@ -469,14 +480,14 @@
         if self.duty_rests() {
             return;
         }
-        let rows = self.sighted(g, image, self.env.now().saturating_sub(self.bounds.missed()));
+        let rows = self.sighted(g, image, self.env.now().saturating_sub(self.bounds.server_missed_after()));
         let next = rows
             .iter()
             .filter(|r| r.fit && r.name != from && wish.as_ref().is_none_or(|w| *w == r.name))
             .max_by_key(|r| (r.place, std::cmp::Reverse(r.cold)));
         let Some(next) = next else { return };
         let line = self.newest(g) + 1;
-        self.log(Part::Elect, format!("{from} is to hand {} over to {}", g.name, next.name));
+        self.log(Component::Elect, format!("{from} is to hand {} over to {}", g.name, next.name));
         self.hand_down(g, from, &next.name, line).await;
     }
 
@@ -491,23 +502,23 @@
             self.await_leader(g, next, line).await;
             return;
         }
-        self.order(from, Act::Yield { line });
-        self.urgent.set(self.env.now() + self.bounds.gone());
+        self.order(from, StatementKind::StepDown { line });
+        self.urgent.set(self.env.now() + self.bounds.server_gone_after());
         let row = |s: &str| self.talks.borrow().get(s).and_then(|t| t.held);
-        let wait = self.bell.until(|| row(from));
-        let Ok(last) = self.env.within(self.bounds.missed(), wait).await else {
-            self.log(Part::Elect, format!("{from} can't be told to follow"));
+        let wait = self.bell.wait_until(|| row(from));
+        let Ok(last) = self.env.timeout(self.bounds.server_missed_after(), wait).await else {
+            self.log(Component::Elect, format!("{from} can't be told to follow"));
             // The order must not be carried out later on.
             return self.with_order_off(from);
         };
         let there = || {
             let talks = self.talks.borrow();
-            talks.get(next).and_then(|t| t.row).is_some_and(|(_, r)| r.place >= last.place)
+            talks.get(next).and_then(|t| t.row).is_some_and(|(_, r)| r.position >= last.position)
         };
-        let wait = self.bell.until(|| there().then_some(()));
-        let met = self.env.within(self.bounds.missed() / 2, wait).await.is_ok();
+        let wait = self.bell.wait_until(|| there().then_some(()));
+        let met = self.env.timeout(self.bounds.server_missed_after() / 2, wait).await.is_ok();
         let name = if met { next } else { from };
-        self.log(Part::Elect, format!("{from} follows; naming {name} for {}", g.name));
+        self.log(Component::Elect, format!("{from} follows; naming {name} for {}", g.name));
         if self.promote(g, name).await == Some(200) {
             self.await_leader(g, name, line).await;
         }
--- a/hub/src/leadership/log_membership.rs
+++ b/hub/src/leadership/log_membership.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-use base::{Kind, seam::Part, words::Position};
-use wire::{Elect, Group, Image, Log};
+use base::{ErrorKind, position::Position, runtime::Component};
+use wire::{Election, Group, Image, ServerLog};
 
 use super::{Leadership, readings::LogReading};
 
@@ -31,7 +31,7 @@
 fn sum(image: &Image, g: &Group) -> u64 {
     let mut all = crc32fast::Hasher::new();
     image.voters(g).for_each(|l| all.update(l.server.as_bytes()));
-    g.leavers.iter().for_each(|l| all.update(l.as_bytes()));
+    g.leaving_servers.iter().for_each(|l| all.update(l.as_bytes()));
     u64::from(all.finalize()) | 1 << 32
 }
 
@@ -40,10 +40,13 @@
     pub(super) fn seen_now(&self, server: &str, new: LogReading) {
         let image = self.consensus.image();
         let entry = image.as_ref().and_then(|i| i.log(server).cloned());
-        let line = image.as_ref().and_then(|i| i.elect(&i.root(server)?.name)).map(|e| (e.line, e.from()));
+        let line = image
+            .as_ref()
+            .and_then(|i| i.election(&i.group_including_leaving(server)?.name))
+            .map(|e| (e.epoch, e.start_position()));
         let (line, from) = line.unwrap_or_default();
         let old = self.seen.borrow().get(server).copied();
-        let lost = old.is_some_and(|o| o.log == new.log && o.place.lost(new.place, line, from));
+        let lost = old.is_some_and(|o| o.log == new.log && o.place.has_lost_entries(new.place, line, from));
         {
             let mut rolls = self.rolls.borrow_mut();
             let fresh = LogRecord { born: new.log, since: new.at, back: None, goal: None };
@@ -54,8 +57,8 @@
             if lost {
                 roll.since = new.at;
                 roll.goal = None;
-                roll.back = Some(entry.map_or(0, |e| e.turn));
-                self.log(Part::Elect, format!("{server} went back to {} in its log", new.place));
+                roll.back = Some(entry.map_or(0, |e| e.admission));
+                self.log(Component::Elect, format!("{server} went back to {} in its log", new.place));
             }
         }
         self.seen.borrow_mut().insert(server.into(), new);
@@ -63,7 +66,7 @@
 
     /// A node tells that a log lost something after it was taken in at this turn.
     pub(super) fn back_told(&self, image: &Image, server: &str, turn: u64) {
-        if image.log(server).is_some_and(|l| l.turn == turn && !l.void)
+        if image.log(server).is_some_and(|l| l.admission == turn && !l.incomplete)
             && let Some(r) = self.rolls.borrow_mut().get_mut(server)
             && r.back != Some(turn)
         {
@@ -77,9 +80,9 @@
             return true;
         }
         let Some(l) = image.log(server) else { return false };
-        let seen = self.seen.borrow().get(server).is_some_and(|s| s.log == l.born);
-        let back = self.rolls.borrow().get(server).is_some_and(|r| r.back.is_some_and(|t| t >= l.turn));
-        seen && !l.void && !back
+        let seen = self.seen.borrow().get(server).is_some_and(|s| s.log == l.log_id);
+        let back = self.rolls.borrow().get(server).is_some_and(|r| r.back.is_some_and(|t| t >= l.admission));
+        seen && !l.incomplete && !back
     }
 
     /// Whether a leader shows that it is not the log that was elected any more.
@@ -112,18 +115,18 @@
                 _ => Some(format!("{s} can't be read")),
             }
         };
-        g.all().filter_map(row).collect::<Vec<_>>().join(", ")
+        g.servers_and_leaving().filter_map(row).collect::<Vec<_>>().join(", ")
     }
 
     /// The entries a first election writes down: those read count from here, the others once they have caught up.
-    pub(super) fn first_logs(&self, image: &Image, g: &Group, since: Duration) -> Vec<Log> {
+    pub(super) fn first_logs(&self, image: &Image, g: &Group, since: Duration) -> Vec<ServerLog> {
         if image.voters(g).next().is_some() {
             return Vec::new();
         }
         let seen = self.seen.borrow();
         let row = |s: &String| {
             let x = seen.get(s).filter(|x| x.asked >= since);
-            Log { server: s.clone(), born: x.map_or(0, |x| x.log), void: x.is_none(), turn: 1 }
+            ServerLog { server: s.clone(), log_id: x.map_or(0, |x| x.log), incomplete: x.is_none(), admission: 1 }
         };
         g.servers.iter().map(row).collect()
     }
@@ -132,22 +135,22 @@
     /// are to leave. One change at a time.
     pub(super) async fn roll(&self) {
         loop {
-            self.env.sleep(self.bounds.pulse()).await;
+            self.env.sleep(self.bounds.control_heartbeat()).await;
             let Some(image) = self.consensus.image() else { continue };
             if !self.consensus.leads() {
                 continue;
             }
             for g in &image.groups {
                 self.phase(&image, g);
-                let Some(e) = image.elect(&g.name) else { continue };
+                let Some(e) = image.election(&g.name) else { continue };
                 let next = self.taken_in(&image, g, e).or_else(|| self.taken_out(&image, g, e));
                 let Some((text, next)) = next else { continue };
-                let (name, at) = (g.name.clone(), e.line);
+                let (name, at) = (g.name.clone(), e.epoch);
                 let out = self
                     .consensus
                     .propose(move |image| {
-                        if image.elect(&name).map_or(0, |e| e.line) != at {
-                            return Err(Kind::Conflict);
+                        if image.election(&name).map_or(0, |e| e.epoch) != at {
+                            return Err(ErrorKind::VersionConflict);
                         }
                         let mut image = image.clone();
                         next(&mut image);
@@ -155,7 +158,7 @@
                     })
                     .await;
                 if out.is_ok() {
-                    self.log(Part::Elect, text);
+                    self.log(Component::Elect, text);
                     self.publish();
                 }
                 break;
@@ -173,24 +176,27 @@
     }
 
     /// The leader's newest reading, if it was asked for after a time and shows it leading on its line.
-    fn head(&self, e: &Elect, after: Duration) -> Option<Position> {
+    fn head(&self, e: &Election, after: Duration) -> Option<Position> {
         let seen = self.seen.borrow();
-        let s = seen.get(&e.server).filter(|s| s.asked > after && s.leads && s.place.line == e.line)?;
+        let s = seen.get(&e.server).filter(|s| s.asked > after && s.leads && s.place.epoch == e.epoch)?;
         Some(s.place)
     }
 
-    fn taken_in(&self, image: &Image, g: &Group, e: &Elect) -> Option<Change> {
+    fn taken_in(&self, image: &Image, g: &Group, e: &Election) -> Option<Change> {
         let leads = self.counts(image, &e.server);
         for s in &g.servers {
             let Some(roll) = self.rolls.borrow().get(s).copied() else { continue };
             let entry = image.log(s).cloned();
             if let Some(l) = &entry {
-                let same = l.born == roll.born;
-                if !l.void && (!same || roll.back.is_some_and(|t| t >= l.turn)) {
+                let same = l.log_id == roll.born;
+                if !l.incomplete && (!same || roll.back.is_some_and(|t| t >= l.admission)) {
                     let (text, next) = (format!("{s} has lost its log or a part of it"), s.clone());
-                    return Some((text, Box::new(move |i| i.logs.iter_mut().for_each(|l| l.void |= l.server == next))));
+                    return Some((
+                        text,
+                        Box::new(move |i| i.logs.iter_mut().for_each(|l| l.incomplete |= l.server == next)),
+                    ));
                 }
-                if !l.void && same {
+                if !l.incomplete && same {
                     continue;
                 }
             }
@@ -198,15 +204,15 @@
             if *s == e.server || !leads {
                 continue;
             }
-            let goal = roll.goal.filter(|p| p.line == e.line).or_else(|| self.head(e, roll.since));
+            let goal = roll.goal.filter(|p| p.epoch == e.epoch).or_else(|| self.head(e, roll.since));
             if let Some(r) = self.rolls.borrow_mut().get_mut(s) {
                 r.goal = goal;
             }
             let place = self.seen.borrow().get(s).map(|x| x.place);
-            let there = goal.zip(place).is_some_and(|(g, p)| p.line == g.line && p.index >= g.index);
+            let there = goal.zip(place).is_some_and(|(g, p)| p.epoch == g.epoch && p.index >= g.index);
             if there {
-                let turn = entry.map_or(0, |l| l.turn) + 1;
-                let new = Log { server: s.clone(), born: roll.born, void: false, turn };
+                let turn = entry.map_or(0, |l| l.admission) + 1;
+                let new = ServerLog { server: s.clone(), log_id: roll.born, incomplete: false, admission: turn };
                 let text = format!("{s} has caught up with {}; its log counts", goal.unwrap_or_default());
                 return Some((
                     text,
@@ -220,20 +226,20 @@
         None
     }
 
-    fn taken_out(&self, image: &Image, g: &Group, e: &Elect) -> Option<Change> {
-        let one = g.leavers.first()?.clone();
+    fn taken_out(&self, image: &Image, g: &Group, e: &Election) -> Option<Change> {
+        let one = g.leaving_servers.first()?.clone();
         let since = self.phases.borrow().get(&g.name)?.since + self.turned();
-        if self.env.now() < since || g.leavers.contains(&e.server) {
+        if self.env.now() < since || g.leaving_servers.contains(&e.server) {
             return None;
         }
         let goal =
-            self.phases.borrow().get(&g.name)?.goal.filter(|p| p.line == e.line).or_else(|| self.head(e, since))?;
+            self.phases.borrow().get(&g.name)?.goal.filter(|p| p.epoch == e.epoch).or_else(|| self.head(e, since))?;
         if let Some(p) = self.phases.borrow_mut().get_mut(&g.name) {
             p.goal = Some(goal);
         }
         let held = |s: &String| {
             let place = self.seen.borrow().get(s).map(|x| x.place);
-            self.counts(image, s) && place.is_some_and(|p| p.line == goal.line && p.index >= goal.index)
+            self.counts(image, s) && place.is_some_and(|p| p.epoch == goal.epoch && p.index >= goal.index)
         };
         let alone = image.voters(g).all(|l| l.server == e.server || l.server == one);
         let second = g.servers.iter().any(|s| *s != e.server && held(s));
@@ -241,7 +247,7 @@
             let text = format!("{one} has left {}: all up to {goal} is held by those who stay", g.name);
             let name = g.name.clone();
             let next: Next = Box::new(move |i| {
-                i.groups.iter_mut().filter(|g| g.name == name).for_each(|g| g.leavers.retain(|l| *l != one));
+                i.groups.iter_mut().filter(|g| g.name == name).for_each(|g| g.leaving_servers.retain(|l| *l != one));
                 i.logs.retain(|l| l.server != one);
             });
             (text, next)
--- a/hub/src/leadership/membership.rs
+++ b/hub/src/leadership/membership.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use wire::{Group, Image, Membership};
+use wire::{Group, GroupMembership, Image};
 
 use super::Leadership;
 
@@ -26,7 +26,7 @@
         }
         let Some(image) = self.consensus.image() else { return false };
         let Some(newest) = image.groups.iter().find(|g| g.name == group.name) else { return false };
-        newest.servers == group.servers && image.complete(newest) && self.unlisted(newest).is_empty()
+        newest.servers == group.servers && image.is_membership_complete(newest) && self.unlisted(newest).is_empty()
     }
 
     /// Servers that made themselves known for a group and are not written into it.
@@ -39,11 +39,11 @@
     /// How long a list must stay as it is before it counts as complete. A server sends a heartbeat within the time after
     /// which it would count as gone, and a second one if the first is lost.
     fn settle_span(&self) -> Duration {
-        self.bounds.gone() * 2
+        self.bounds.server_gone_after() * 2
     }
 
     /// The groups whose lists are found complete now and are not recorded as such yet.
-    pub(super) fn found_complete(&self, image: &Image) -> Vec<Membership> {
+    pub(super) fn found_complete(&self, image: &Image) -> Vec<GroupMembership> {
         let now = self.env.now();
         let groups: Vec<&Group> = image.groups.iter().filter(|g| g.confirms).collect();
         let mut listed = self.listed.borrow_mut();
@@ -60,11 +60,11 @@
         }
         let recorded = |g: &Group| {
             let servers = g.servers.len() as u64;
-            image.memberships.iter().any(|m| m.group == g.name && m.servers == servers)
+            image.group_memberships.iter().any(|m| m.group == g.name && m.servers == servers)
         };
         let longest = groups.iter().map(|g| g.servers.len()).max().unwrap_or(0);
         let quiet = |g: &Group| {
-            let first = image.memberships.iter().all(|m| m.group != g.name);
+            let first = image.group_memberships.iter().all(|m| m.group != g.name);
             let factor = if first && g.servers.len() < longest { SHORT_FACTOR } else { 1 };
             let since = listed.get(&g.name).map_or(now, |l| l.1);
             since + self.settle_span() * factor < now
@@ -73,12 +73,12 @@
                 && self.all_heard(g, settled)
         };
         let new = groups.into_iter().filter(|g| !recorded(g) && quiet(g));
-        new.map(|g| Membership { group: g.name.clone(), servers: g.servers.len() as u64 }).collect()
+        new.map(|g| GroupMembership { group: g.name.clone(), servers: g.servers.len() as u64 }).collect()
     }
 
     /// Whether a server answers this hub's readings.
     fn answers(&self, server: &str) -> bool {
-        let since = self.env.now().saturating_sub(self.bounds.gone());
+        let since = self.env.now().saturating_sub(self.bounds.server_gone_after());
         self.talks.borrow().get(server).and_then(|t| t.alive).is_some_and(|t| t >= since)
     }
 
--- a/hub/src/leadership/mod.rs
+++ b/hub/src/leadership/mod.rs
@@ -20,14 +20,14 @@
 
 use base::{
     Bounds,
-    bell::Bell,
-    edge::backend::Report,
+    edge::backend::ServerReport,
+    notify::Notify,
     permits::Permits,
-    seam::{Env, Part},
-    settings::Place,
-    talk::ServerProtocol,
+    protocol::ServerProtocol,
+    runtime::{Component, Env},
+    settings::NodeConfig,
 };
-use wire::{Beat, BeatReturn, Image, Mark, Snapshot, relay::Relay};
+use wire::{Image, NodeHeartbeat, NodeHeartbeatAck, Snapshot, SnapshotVersion, relay::Relay};
 
 use crate::{
     consensus::Consensus,
@@ -88,7 +88,7 @@
     /// The zones that the settings list; none where they list none.
     pub(crate) listed_zones: Vec<String>,
     /// Rung when servers, nodes or grants moved.
-    pub bell: Bell,
+    pub bell: Notify,
     pub(crate) disabled: DisabledGuards,
 }
 
@@ -98,7 +98,7 @@
         env: &Env,
         consensus: Rc<Consensus>,
         relay: Rc<Relay>,
-        place: &Place,
+        place: &NodeConfig,
         manner: Option<Rc<dyn ServerProtocol>>,
         disabled: DisabledGuards,
     ) -> Rc<Self> {
@@ -129,7 +129,7 @@
             urgent: Cell::default(),
             orders: Permits::new(operator::MOST_ORDERS),
             listed_zones: place.zones.clone(),
-            bell: Bell::default(),
+            bell: Notify::default(),
             disabled,
         });
         let weak = Rc::downgrade(&me);
@@ -143,10 +143,10 @@
     /// Leads whenever the agreement says so, and clears the desk when it no longer does.
     pub async fn run(self: Rc<Self>) -> Result<(), std::convert::Infallible> {
         loop {
-            self.consensus.bell.until(|| self.consensus.leads().then_some(())).await;
+            self.consensus.bell.wait_until(|| self.consensus.leads().then_some(())).await;
             let (term, _) = self.consensus.term();
             self.begin(term);
-            self.relay.hurry.ring();
+            self.relay.urgent_heartbeat.notify_waiters();
             let me = self.clone();
             let probes = self.env.spawn(async move { me.probes().await });
             let me = self.clone();
@@ -163,7 +163,7 @@
             let batches = self.env.spawn(async move { me.publish_batches().await });
             self.consensus
                 .bell
-                .until(|| (self.consensus.image().is_none() || self.consensus.term().0 != term).then_some(()))
+                .wait_until(|| (self.consensus.image().is_none() || self.consensus.term().0 != term).then_some(()))
                 .await;
             drop((probes, tend_groups, watch, roll, enrol_servers, elects, batches));
             self.standings.borrow_mut().clear();
@@ -174,11 +174,11 @@
     fn begin(&self, term: u64) {
         self.term.set(term);
         // Marks rise within a term, whatever was published in it before.
-        let before = self.relay.latest().filter(|news| news.mark.term == term);
-        self.count.set(before.map_or(0, |news| news.mark.count));
+        let before = self.relay.latest().filter(|news| news.version.term == term);
+        self.count.set(before.map_or(0, |news| news.version.count));
         self.overdue.set(false);
         self.unpublished.set(false);
-        let lapse = self.env.now() + self.bounds.lapse();
+        let lapse = self.env.now() + self.bounds.lease_expiry_wait();
         *self.leases.borrow_mut() = match self.consensus.inherited_leases() {
             Some(i) => LeaseTable::inherit(lapse, i.at, &i.leases),
             None => LeaseTable::new(lapse),
@@ -203,8 +203,8 @@
         }
         // After all processes were down nobody tells it again for a while.
         if let Some(image) = self.consensus.image() {
-            for s in &image.spots {
-                let group = image.root(&s.server).map_or("", |g| &g.name);
+            for s in &image.server_addresses {
+                let group = image.group_including_leaving(&s.server).map_or("", |g| &g.name);
                 servers.entry(s.server.clone()).or_insert_with(|| ServerRecord::from_spot(s, group, now));
             }
         }
@@ -213,8 +213,8 @@
     }
 
     /// The newest mark; every change of news raises it before it is acted on.
-    fn mark(&self) -> Mark {
-        Mark { term: self.term.get(), count: self.count.get() }
+    fn mark(&self) -> SnapshotVersion {
+        SnapshotVersion { term: self.term.get(), count: self.count.get() }
     }
 
     /// Sends news of the present state down the tree.
@@ -230,7 +230,7 @@
         let nodes = self.told_nodes_now();
         self.told_nodes.borrow_mut().clone_from(&nodes);
         self.relay.publish(Snapshot::new(self.mark(), &image, servers, nodes));
-        self.bell.ring();
+        self.bell.notify_waiters();
     }
 
     /// Sends news with the next batch: what servers tell of themselves is not news at every heartbeat.
@@ -251,7 +251,7 @@
 
     /// How long news gathers: half a beat.
     fn batch_span(&self) -> Duration {
-        self.bounds.beat() / 2
+        self.bounds.node_heartbeat() / 2
     }
 
     /// The nodes that news tells of, for others to hang on: those nearest to the root.
@@ -266,7 +266,7 @@
     }
 
     /// Takes a server's own report.
-    pub fn report(&self, r: &Report) {
+    pub fn report(&self, r: &ServerReport) {
         let now = self.env.now();
         let moved = {
             let mut all = self.servers.borrow_mut();
@@ -294,33 +294,37 @@
     }
 
     /// The other address at which a server of this name still answers this hub's readings.
-    pub fn answers_elsewhere(&self, r: &Report) -> Option<String> {
+    pub fn answers_elsewhere(&self, r: &ServerReport) -> Option<String> {
         let now = self.env.now();
         let at = self.servers.borrow().get(&r.server)?.addr.clone();
-        let seen = self.seen.borrow().get(&r.server).is_some_and(|s| now.saturating_sub(s.at) < self.bounds.gone());
+        let seen = self
+            .seen
+            .borrow()
+            .get(&r.server)
+            .is_some_and(|s| now.saturating_sub(s.at) < self.bounds.server_gone_after());
         (at != r.addr && seen).then_some(at)
     }
 
     /// Whether any group of the image has this server.
     pub fn known(&self, server: &str) -> bool {
-        self.consensus.image().is_some_and(|i| i.root(server).is_some())
+        self.consensus.image().is_some_and(|i| i.group_including_leaving(server).is_some())
     }
 
     /// The zones_heard that servers and nodes tell of.
     pub fn zones_heard(&self) -> Vec<String> {
         let mut out: Vec<String> = self.servers.borrow().values().map(|t| t.area.clone()).collect();
-        out.extend(self.seats.borrow().values().map(|s| s.node.area.clone()));
+        out.extend(self.seats.borrow().values().map(|s| s.node.zone.clone()));
         out.sort();
         out.dedup();
         out
     }
 
     /// Takes a node's beat and gives its grants.
-    pub fn on_heartbeat(&self, beat: Beat) -> Option<BeatReturn> {
+    pub fn on_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         if !self.consensus.leads() || self.term.get() != self.consensus.term().0 {
             return None;
         }
-        if !self.consensus.agrees(&beat.name, beat.rule) {
+        if !self.consensus.agrees(&beat.name, beat.bounds_digest) {
             return None;
         }
         let image = self.consensus.image()?;
@@ -343,53 +347,58 @@
             return Some(self.ret(&beat, Vec::new(), Vec::new()));
         }
         self.note_held_leases(&beat, &image);
-        for s in beat.sights.iter().filter(|s| s.back > 0) {
-            self.back_told(&image, &s.server, s.back);
+        for s in beat.observations.iter().filter(|s| s.lost_since_admission > 0) {
+            self.back_told(&image, &s.server, s.lost_since_admission);
         }
         let leads = self.grant_leads(&beat, &image, now);
         let shares = self.grant_shares(&beat, &image, now);
         Some(self.ret(&beat, leads, shares))
     }
 
-    fn ret(&self, beat: &Beat, leads: Vec<wire::Lead>, shares: Vec<wire::Share>) -> BeatReturn {
-        BeatReturn {
+    fn ret(
+        &self,
+        beat: &NodeHeartbeat,
+        leads: Vec<wire::PrimaryLeaseGrant>,
+        shares: Vec<wire::ShareGrant>,
+    ) -> NodeHeartbeatAck {
+        NodeHeartbeatAck {
             name: beat.name.clone(),
-            boot: beat.boot,
+            boot_id: beat.boot_id,
             nonce: beat.nonce,
-            mark: Some(self.mark()),
-            leads,
+            snapshot_version: Some(self.mark()),
+            primary_leases: leads,
             shares,
         }
     }
 
-    fn grant_leads(&self, beat: &Beat, image: &Image, now: Duration) -> Vec<wire::Lead> {
+    fn grant_leads(&self, beat: &NodeHeartbeat, image: &Image, now: Duration) -> Vec<wire::PrimaryLeaseGrant> {
         let standings = self.standings.borrow();
-        let holder = Holder { node: &beat.name, boot: beat.boot, nonce: beat.nonce };
+        let holder = Holder { node: &beat.name, boot: beat.boot_id, nonce: beat.nonce };
         let mut out = Vec::new();
         for (group, st) in standings.iter().filter(|(_, s)| s.granting) {
             let server = match image.groups.iter().find(|g| g.name == *group) {
                 Some(g) if g.confirms => st.server.clone(),
-                _ => match image.elect(group) {
-                    Some(e) if e.line == st.line => e.server.clone(),
+                _ => match image.election(group) {
+                    Some(e) if e.epoch == st.line => e.server.clone(),
                     _ => continue,
                 },
             };
-            self.leases.borrow_mut().give_primary(group, holder, now + self.bounds.lapse());
-            out.push(wire::Lead {
+            self.leases.borrow_mut().give_primary(group, holder, now + self.bounds.lease_expiry_wait());
+            out.push(wire::PrimaryLeaseGrant {
                 group: group.clone(),
                 server,
-                line: st.line,
-                span: self.bounds.grant().as_millis() as u64,
+                epoch: st.line,
+                valid_ms: self.bounds.lease_duration().as_millis() as u64,
             });
         }
         out
     }
 
-    fn grant_shares(&self, beat: &Beat, image: &Image, now: Duration) -> Vec<wire::Share> {
+    fn grant_shares(&self, beat: &NodeHeartbeat, image: &Image, now: Duration) -> Vec<wire::ShareGrant> {
         let mut out = Vec::new();
         let mut table = self.leases.borrow_mut();
-        let holder = Holder { node: &beat.name, boot: beat.boot, nonce: beat.nonce };
-        let until = now + self.bounds.lapse();
+        let holder = Holder { node: &beat.name, boot: beat.boot_id, nonce: beat.nonce };
+        let until = now + self.bounds.lease_expiry_wait();
         for g in &image.groups {
             for s in &g.servers {
                 let cold = self.servers.borrow().get(s).map_or(0.0, |t| t.cold);
@@ -400,8 +409,8 @@
                     // A cold server's cap is what it bears, not what it guards.
                     false => table.share(s, holder, cap, now, until, g.confirms && cold == 0.0),
                 };
-                let span = self.bounds.grant().as_millis() as u64;
-                out.push(wire::Share { server: s.clone(), count, span, scarce, sharers });
+                let span = self.bounds.lease_duration().as_millis() as u64;
+                out.push(wire::ShareGrant { server: s.clone(), count, valid_ms: span, scarce, sharers });
             }
         }
         out
@@ -410,9 +419,9 @@
     /// Watches for servers and nodes that fall silent.
     async fn watch(&self) {
         loop {
-            self.env.sleep(self.bounds.pulse()).await;
+            self.env.sleep(self.bounds.control_heartbeat()).await;
             let now = self.env.now();
-            let gone = self.bounds.gone();
+            let gone = self.bounds.server_gone_after();
             let mut moved = false;
             for (name, t) in self.servers.borrow_mut().iter_mut() {
                 let probed = self.seen.borrow().get(name).map_or(Duration::ZERO, |s| s.at);
@@ -436,14 +445,16 @@
         let Some(image) = self.consensus.image() else { return false };
         let mut servers = self.servers.borrow_mut();
         let before = servers.len();
-        let span = self.bounds.gone() * FORGET_AFTER;
+        let span = self.bounds.server_gone_after() * FORGET_AFTER;
         // What an earlier leading hub told of is counted from when this one began to lead.
         let since = self.consensus.term().1;
-        servers.retain(|name, t| !t.gone || image.root(name).is_some() || now < t.heard.max(since) + span);
+        servers.retain(|name, t| {
+            !t.gone || image.group_including_leaving(name).is_some() || now < t.heard.max(since) + span
+        });
         servers.len() != before
     }
 
-    pub(crate) fn log(&self, part: Part, text: impl AsRef<str>) {
+    pub(crate) fn log(&self, part: Component, text: impl AsRef<str>) {
         self.env.log(part, text);
     }
 }
--- a/hub/src/leadership/readings.rs
+++ b/hub/src/leadership/readings.rs
@@ -1,11 +1,11 @@
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use base::{
-    edge::backend::{self, Signs},
-    http::{Client, Fault},
-    seam::Job,
-    talk::{Act, Line, Row, ServerProtocol, Statement},
-    words::Position,
+    edge::backend::{self, ResponseMetadata},
+    http::{CallError, Client},
+    position::Position,
+    protocol::{ReplicationStatus, ServerConnection, ServerProtocol, Statement, StatementKind},
+    runtime::TaskGuard,
 };
 use bytes::Bytes;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerStatus {
     /// What it showed, and when it was asked.
-    pub row: Option<(Duration, Row)>,
+    pub row: Option<(Duration, ReplicationStatus)>,
     /// When it last answered anything.
     pub alive: Option<Duration>,
     /// Since when a question to it stands unanswered.
@@ -36,15 +36,15 @@
     /// How often in a row nobody listened at its address.
     pub refused: u32,
     /// What it is to be told next.
-    pub order: Option<Act>,
+    pub order: Option<StatementKind>,
     /// What it showed as it was kept from receiving.
-    pub held: Option<Row>,
+    pub held: Option<ReplicationStatus>,
 }
 
 impl Leadership {
     /// Keeps one reading task for each server of the image.
     pub(super) async fn probes(self: Rc<Self>) {
-        let mut jobs: BTreeMap<String, (String, Job)> = BTreeMap::new();
+        let mut jobs: BTreeMap<String, (String, TaskGuard)> = BTreeMap::new();
         loop {
             let addrs: BTreeMap<String, (String, Option<String>)> = {
                 let image = self.consensus.image();
@@ -53,7 +53,9 @@
                     let t = servers.get(s).filter(|t| !t.left)?;
                     Some((s.clone(), (t.addr.clone(), g.confirms.then(|| g.name.clone()))))
                 };
-                let all = image.iter().flat_map(|i| i.groups.iter().flat_map(|g| g.all().filter_map(|s| row(g, s))));
+                let all = image
+                    .iter()
+                    .flat_map(|i| i.groups.iter().flat_map(|g| g.servers_and_leaving().filter_map(|s| row(g, s))));
                 all.collect()
             };
             jobs.retain(|s, (a, _)| addrs.get(s).is_some_and(|x| x.0 == *a));
@@ -72,30 +74,32 @@
                     (addr, job)
                 });
             }
-            self.env.sleep(self.bounds.pulse()).await;
+            self.env.sleep(self.bounds.control_heartbeat()).await;
         }
     }
 
     async fn probe(&self, server: String, addr: SocketAddr) {
-        let span = self.bounds.call();
+        let span = self.bounds.call_timeout();
         let mut refused = 0;
         loop {
             let start = self.env.now();
             if let Ok(mut line) = Client::connect(&self.env, addr, span, 1 << 16).await {
-                while line.open() {
+                while line.is_open() {
                     let asked = self.env.now();
-                    let Ok(out) = line.call("GET", backend::PLACE, &[], Bytes::new(), span).await else { break };
-                    let signs = backend::signs(&out);
-                    if let Signs { place: Some(place), leads, log, .. } = signs {
+                    let Ok(out) = line.call("GET", backend::POSITION_PATH, &[], Bytes::new(), span).await else {
+                        break;
+                    };
+                    let signs = backend::response_metadata(&out);
+                    if let ResponseMetadata { position: Some(place), is_primary: leads, log_id: log, .. } = signs {
                         let seen = LogReading { asked, at: self.env.now(), place, leads, log };
                         refused = 0;
                         self.refused.borrow_mut().remove(&server);
                         self.seen_now(&server, seen);
-                        self.bell.ring();
+                        self.bell.notify_waiters();
                     }
-                    let rest = self.bounds.sample();
-                    let soon = self.bell.until(|| (self.env.now() < self.urgent.get()).then_some(()));
-                    if self.env.within(rest, soon).await.is_ok() {
+                    let rest = self.bounds.sampling_interval();
+                    let soon = self.bell.wait_until(|| (self.env.now() < self.urgent.get()).then_some(()));
+                    if self.env.timeout(rest, soon).await.is_ok() {
                         self.env.sleep(rest / 10).await;
                     }
                 }
@@ -104,7 +108,7 @@
             if refused > 1 {
                 self.refused.borrow_mut().insert(server.clone());
             }
-            self.env.sleep(self.bounds.sample() / 2).await;
+            self.env.sleep(self.bounds.sampling_interval() / 2).await;
         }
     }
 
@@ -114,14 +118,14 @@
 
     /// Reads one server that confirms, and tells it what it is ordered.
     async fn talk(&self, server: String, addr: SocketAddr, group: String, manner: Rc<dyn ServerProtocol>) {
-        let span = self.bounds.call();
+        let span = self.bounds.call_timeout();
         loop {
             let start = self.env.now();
             self.with_talk(&server, |t| t.open = t.open.or(Some(start)));
-            let line = self.env.within(span, manner.open(&self.env, addr, &group, &server)).await;
+            let line = self.env.timeout(span, manner.open(&self.env, addr, &group, &server)).await;
             if let Ok(Ok(mut line)) = line {
                 self.stay(&server, &mut *line).await;
-            } else if let Ok(Err(Fault::Unsure)) = line {
+            } else if let Ok(Err(CallError::OutcomeUnknown)) = line {
                 // It turns sessions away, being full: it lives.
                 let now = self.env.now();
                 self.with_talk(&server, |t| *t = ServerStatus { open: None, refused: 0, alive: Some(now), ..*t });
@@ -129,40 +133,44 @@
                 let soon = self.env.now() - start < span / 4;
                 self.with_talk(&server, |t| t.refused = if soon { t.refused + 1 } else { 0 });
             }
-            self.env.sleep(self.bounds.sample() / 5).await;
+            self.env.sleep(self.bounds.sampling_interval() / 5).await;
         }
     }
 
-    async fn stay(&self, server: &str, line: &mut dyn Line) {
-        let span = self.bounds.call();
-        while line.open() {
+    async fn stay(&self, server: &str, line: &mut dyn ServerConnection) {
+        let span = self.bounds.call_timeout();
+        while line.is_open() {
             let asked = self.env.now();
             let order = self.talks.borrow().get(server).and_then(|t| t.order);
             self.with_talk(server, |t| t.open = t.open.or(Some(asked)));
-            let said = Statement::own(order.unwrap_or(Act::Place));
-            let Ok(Ok(reply)) = self.env.within(span, line.say(&said, None)).await else { return };
+            let said = Statement::internal(order.unwrap_or(StatementKind::Status));
+            let Ok(Ok(reply)) = self.env.timeout(span, line.execute(&said, None)).await else { return };
             let now = self.env.now();
             self.with_talk(server, |t| {
                 t.open = None;
                 t.refused = 0;
                 t.alive = Some(now);
-                let Some(row) = reply.row else { return };
+                let Some(row) = reply.status else { return };
                 t.row = Some((asked, row));
                 if order.is_some() && t.order == order {
                     t.order = None;
-                    t.held = matches!(order, Some(Act::Hold { .. } | Act::Yield { .. })).then_some(row);
+                    t.held = matches!(
+                        order,
+                        Some(StatementKind::SuspendReplication { .. } | StatementKind::StepDown { .. })
+                    )
+                    .then_some(row);
                 }
             });
-            self.bell.ring();
-            let busy = reply.row.is_none();
+            self.bell.notify_waiters();
+            let busy = reply.status.is_none();
             // Nothing is asked more often than urgent readings are.
-            self.env.sleep(self.bounds.sample() / 10).await;
-            let soon = self.bell.until(|| {
+            self.env.sleep(self.bounds.sampling_interval() / 10).await;
+            let soon = self.bell.wait_until(|| {
                 let order = self.talks.borrow().get(server).is_some_and(|t| t.order.is_some());
                 (order || self.env.now() < self.urgent.get()).then_some(())
             });
             if !busy {
-                let _ = self.env.within(self.bounds.sample() * 2, soon).await;
+                let _ = self.env.timeout(self.bounds.sampling_interval() * 2, soon).await;
             }
         }
     }
--- a/hub/src/leadership/registry.rs
+++ b/hub/src/leadership/registry.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
-use base::edge::backend::Report;
-use wire::{Beat, Node, Server, Sight, Spot};
+use base::edge::backend::ServerReport;
+use wire::{Node, NodeHeartbeat, Server, ServerAddress, ServerObservation};
 
 /// A server as it last told of itself.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
 
 impl ServerRecord {
     /// From the server's report.
-    pub fn from_report(r: &Report, now: Duration) -> Self {
+    pub fn from_report(r: &ServerReport, now: Duration) -> Self {
         Self {
             area: r.area.clone(),
             addr: r.addr.clone(),
@@ -42,24 +42,24 @@
     /// From news that an earlier leading hub sent.
     pub fn from_news(s: &Server, now: Duration) -> Self {
         Self {
-            area: s.area.clone(),
+            area: s.zone.clone(),
             addr: s.addr.clone(),
             draining: s.draining,
             cold: f64::from(s.cold) / 1000.0,
-            leads: s.leads,
-            line: s.line,
+            leads: s.is_primary,
+            line: s.epoch,
             heard: if s.gone { Duration::ZERO } else { now },
             gone: s.gone,
             group: s.group.clone(),
-            turn: s.turn,
+            turn: s.report_seq,
             left: s.left,
         }
     }
 
     /// From what was written down when the server was written into its group.
-    pub fn from_spot(s: &Spot, group: &str, now: Duration) -> Self {
+    pub fn from_spot(s: &ServerAddress, group: &str, now: Duration) -> Self {
         Self {
-            area: s.area.clone(),
+            area: s.zone.clone(),
             addr: s.addr.clone(),
             draining: false,
             cold: 0.0,
@@ -74,8 +74,8 @@
     }
 
     /// Where it stands.
-    pub fn spot(&self, name: &str) -> Spot {
-        Spot { server: name.into(), addr: self.addr.clone(), area: self.area.clone() }
+    pub fn spot(&self, name: &str) -> ServerAddress {
+        ServerAddress { server: name.into(), addr: self.addr.clone(), zone: self.area.clone() }
     }
 
     /// Coldness in twentieths, so that warming up is not news at every report.
@@ -100,15 +100,15 @@
     pub fn news(&self, name: &str) -> Server {
         Server {
             name: name.into(),
-            area: self.area.clone(),
+            zone: self.area.clone(),
             addr: self.addr.clone(),
             draining: self.draining,
             gone: self.gone,
             cold: self.step(),
-            leads: self.leads,
-            line: self.line,
+            is_primary: self.leads,
+            epoch: self.line,
             group: self.group.clone(),
-            turn: self.turn,
+            report_seq: self.turn,
             left: self.left,
         }
     }
@@ -120,22 +120,22 @@
     pub node: Node,
     pub heard: Duration,
     /// What it sees of servers, by their names.
-    pub sights: BTreeMap<String, Sight>,
+    pub sights: BTreeMap<String, ServerObservation>,
     pub hub: bool,
 }
 
 impl NodeRecord {
     /// From the node's beat.
-    pub fn from_beat(b: &Beat, now: Duration) -> Self {
+    pub fn from_beat(b: &NodeHeartbeat, now: Duration) -> Self {
         let node = Node {
             name: b.name.clone(),
-            area: b.area.clone(),
+            zone: b.zone.clone(),
             peer: b.peer.clone(),
             http: b.http.clone(),
             parent: b.parent.clone(),
             depth: b.depth,
         };
-        let sights = b.sights.iter().map(|sight| (sight.server.clone(), sight.clone())).collect();
+        let sights = b.observations.iter().map(|sight| (sight.server.clone(), sight.clone())).collect();
         Self { node, heard: now, sights, hub: b.hub }
     }
 
--- a/hub/src/leadership/rows.rs
+++ b/hub/src/leadership/rows.rs
@@ -1,4 +1,4 @@
-use base::{http::Return, strict};
+use base::{http::HttpResponse, strict};
 use nanoserde::SerJson;
 
 use super::Leadership;
@@ -52,18 +52,18 @@
     }
 }
 
-fn json<T: SerJson>(rows: Vec<T>) -> Return {
-    Return::new(200, rows.serialize_json()).with("content-type", "application/json")
+fn json<T: SerJson>(rows: Vec<T>) -> HttpResponse {
+    HttpResponse::new(200, rows.serialize_json()).with_header("content-type", "application/json")
 }
 
 impl Leadership {
     /// The nodes whose sessions stand.
-    pub fn members(&self) -> Return {
+    pub fn members(&self) -> HttpResponse {
         let now = self.env.now();
         let rows = self.seats.borrow();
         let row = |s: &super::NodeRecord| Member {
             name: s.node.name.clone(),
-            area: s.node.area.clone(),
+            area: s.node.zone.clone(),
             peer: s.node.peer.clone(),
             http: s.node.http.clone(),
             parent: s.node.parent.clone(),
@@ -74,13 +74,13 @@
     }
 
     /// The servers as last told.
-    pub fn server_rows(&self) -> Return {
+    pub fn server_rows(&self) -> HttpResponse {
         let now = self.env.now();
         let image = self.consensus.image();
         let rows = self.servers.borrow();
         let row = |(name, t): (&String, &super::ServerRecord)| ServerRow {
             name: name.clone(),
-            group: image.as_ref().and_then(|i| i.home(name)).map(|g| g.name.clone()).unwrap_or_default(),
+            group: image.as_ref().and_then(|i| i.group_of(name)).map(|g| g.name.clone()).unwrap_or_default(),
             area: t.area.clone(),
             addr: t.addr.clone(),
             draining: t.draining,
@@ -93,10 +93,10 @@
     }
 
     /// Who leads each group.
-    pub fn lead_rows(&self) -> Return {
+    pub fn lead_rows(&self) -> HttpResponse {
         let image = self.consensus.image();
         let rows = self.standings().into_iter().map(|(group, s)| LeadRow {
-            server: image.as_ref().and_then(|i| i.elect(&group)).map(|e| e.server.clone()).unwrap_or_default(),
+            server: image.as_ref().and_then(|i| i.election(&group)).map(|e| e.server.clone()).unwrap_or_default(),
             group,
             line: s.line,
             granting: s.granting,
@@ -107,7 +107,7 @@
     }
 
     /// Which shares are out.
-    pub fn grant_rows(&self) -> Return {
+    pub fn grant_rows(&self) -> HttpResponse {
         let rows = self.leases.borrow().out(self.env.now());
         json(rows.into_iter().map(|(server, node, count)| GrantRow { server, node, count }).collect())
     }
--- a/hub/src/leases.rs
+++ b/hub/src/leases.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use wire::{Beat, OutLead};
+use wire::{NodeHeartbeat, OutstandingLease};
 
 /// Connections of each server that control nodes keep for reading positions.
 const KEPT_BACK: u64 = 3;
@@ -87,32 +87,32 @@
     }
 
     /// A table that takes on the leases on primaries which the leader before told of at `at`.
-    pub fn inherit(grace: Duration, at: Duration, left: &[OutLead]) -> Self {
+    pub fn inherit(grace: Duration, at: Duration, left: &[OutstandingLease]) -> Self {
         let mut me = Self { grace, ..Self::default() };
         for l in left {
             if l.group.is_empty() {
-                me.doubt = at + Duration::from_millis(l.left);
+                me.doubt = at + Duration::from_millis(l.remaining_ms);
                 continue;
             }
-            let holder = Holder { node: &l.node, boot: l.boot, nonce: l.nonce };
-            me.give_primary(&l.group, holder, at + Duration::from_millis(l.left));
+            let holder = Holder { node: &l.node, boot: l.boot_id, nonce: l.nonce };
+            me.give_primary(&l.group, holder, at + Duration::from_millis(l.remaining_ms));
         }
         me
     }
 
     /// The leases on primaries that may still stand, for a successor. Only one that knows of all can tell.
-    pub fn left(&self, now: Duration) -> Vec<OutLead> {
+    pub fn left(&self, now: Duration) -> Vec<OutstandingLease> {
         let mut out = Vec::new();
         if self.doubt > now {
             // Of a holder earlier still, nobody knows which nodes have any.
             let left = (self.doubt - now).as_millis() as u64 + 1;
-            out.push(OutLead { left, ..OutLead::default() });
+            out.push(OutstandingLease { remaining_ms: left, ..OutstandingLease::default() });
         }
         for (group, all) in &self.primaries {
             for (node, lease) in all.iter().filter(|(_, lease)| now < lease.until) {
                 let left = (lease.until - now).as_millis() as u64 + 1;
                 let (node, boot, nonce) = (node.clone(), lease.boot, lease.nonce);
-                out.push(OutLead { group: group.clone(), node, nonce, left, boot });
+                out.push(OutstandingLease { group: group.clone(), node, nonce, remaining_ms: left, boot_id: boot });
             }
         }
         out
@@ -120,13 +120,13 @@
 
     /// Takes in what a node says it still holds. Word of one run of its process lowers only what that run was given; what
     /// an earlier run was given runs out by itself.
-    pub fn told(&mut self, beat: &Beat, now: Duration) {
+    pub fn told(&mut self, beat: &NodeHeartbeat, now: Duration) {
         for held in &beat.shares {
             let lease = self.shares.entry(held.server.clone()).or_default().entry(beat.name.clone()).or_default();
             lease.want = held.want;
             lease.told = now;
             // A heartbeat tells of the past: only a count it holds after the newest return lowers what is out.
-            if held.count < lease.count && beat.boot == lease.boot && beat.heard >= lease.nonce {
+            if held.count < lease.count && beat.boot_id == lease.boot && beat.last_ack_nonce >= lease.nonce {
                 lease.count = held.count;
             }
             if now < self.grace {
@@ -134,15 +134,16 @@
             }
         }
         for (group, all) in &mut self.primaries {
-            let Some(lease) = all.get(&beat.name).filter(|lease| lease.boot == beat.boot) else { continue };
-            let handed_back = beat.heard > lease.nonce && !beat.leads.iter().any(|l| l.group == *group);
+            let Some(lease) = all.get(&beat.name).filter(|lease| lease.boot == beat.boot_id) else { continue };
+            let handed_back =
+                beat.last_ack_nonce > lease.nonce && !beat.primary_leases.iter().any(|l| l.group == *group);
             if beat.leaving || handed_back {
                 all.remove(&beat.name);
             }
         }
         if beat.leaving {
             for all in self.shares.values_mut() {
-                if all.get(&beat.name).is_some_and(|lease| lease.boot == beat.boot) {
+                if all.get(&beat.name).is_some_and(|lease| lease.boot == beat.boot_id) {
                     all.remove(&beat.name);
                 }
             }
--- a/hub/src/on_platform.rs
+++ b/hub/src/on_platform.rs
@@ -4,10 +4,10 @@
 
 use base::{
     Env,
-    http::{self, Door},
+    http::{self, Endpoint},
     permits::Permits,
-    settings::Place,
-    tree::Tree,
+    settings::NodeConfig,
+    supervisor::Supervisor,
 };
 use platform::Given;
 
@@ -17,19 +17,19 @@
 pub struct PlatformHub {
     env: Env,
     pub hub: Hub,
-    door: Door,
-    place: Place,
-    _tree: Tree,
+    door: Endpoint,
+    place: NodeConfig,
+    _tree: Supervisor,
 }
 
 impl PlatformHub {
     /// Starts it; it runs for as long as the returned value lives.
-    pub async fn start(env: &Env, given: &Given, place: &Place, disabled: DisabledGuards) -> Result<Self, Fault> {
+    pub async fn start(env: &Env, given: &Given, place: &NodeConfig, disabled: DisabledGuards) -> Result<Self, Fault> {
         let hub = run_in(env, place, disabled, Some(platform::Speech::shared())).await?;
-        let door = Door::new(place.most_sessions, place.most_body);
-        let mut tree = Tree::new(env);
+        let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
+        let mut tree = Supervisor::new(env);
         if let Some(addr) = given.control {
-            let sock: http::Slot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
+            let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
             let (relay, consensus) = (hub.relay.clone(), hub.consensus.clone());
             let entrance = Rc::new(Entrance { env: env.clone(), bounds: place.bounds.clone(), relay, consensus });
             let orders = Permits::new(MOST_ORDERS);
@@ -39,7 +39,7 @@
                     let entrance = entrance.clone();
                     Box::pin(async move { entrance.pass(ask).await })
                 });
-                Rc::new(platform::Desk { pass, orders: orders.clone() }) as Rc<dyn http::Session>
+                Rc::new(platform::Desk { pass, orders: orders.clone() }) as Rc<dyn http::RequestHandler>
             });
             let (e, d) = (env.clone(), door.clone());
             tree.child("control", move || http::serve(e.clone(), sock.clone(), d.clone(), make.clone()));
@@ -50,7 +50,7 @@
     /// Hands over what this hub does and closes its doors.
     pub async fn leave(&self) {
         self.hub.leave().await;
-        self.door.end();
-        self.env.sleep(self.place.bounds.pulse()).await;
+        self.door.close_idle();
+        self.env.sleep(self.place.bounds.control_heartbeat()).await;
     }
 }
--- a/hub/src/operator/apply.rs
+++ b/hub/src/operator/apply.rs
@@ -1,12 +1,12 @@
 //! Makes the new state that a set or change asks for, and checks it.
 
 use base::{
-    Kind,
+    ErrorKind,
     edge::{
-        operator::{self, Change, Limits, Set},
-        refuse,
+        error_response,
+        operator::{self, Configuration, ConfigurationChange, Limits},
     },
-    http::Return,
+    http::HttpResponse,
 };
 use wire::Image;
 
@@ -14,7 +14,7 @@
 
 /// The whole set that is to be in force.
 pub struct Wanted {
-    doorways: Vec<operator::Doorway>,
+    doorways: Vec<operator::Route>,
     groups: Vec<operator::Group>,
     limits: Limits,
     note: String,
@@ -22,7 +22,7 @@
 
 impl Wanted {
     /// What a whole set asks for.
-    pub fn from_set(old: &Image, set: &Set) -> Self {
+    pub fn from_set(old: &Image, set: &Configuration) -> Self {
         Self {
             doorways: set.doorways.clone(),
             groups: set.groups.clone(),
@@ -32,12 +32,12 @@
     }
 
     /// What a change to a few items asks for.
-    pub fn from_change(old: &Image, change: &Change) -> Result<Self, Return> {
+    pub fn from_change(old: &Image, change: &ConfigurationChange) -> Result<Self, HttpResponse> {
         let mut all = doorways(old);
         for name in &change.drop {
             // Where operators number their sets, one that is not there need not be taken out.
             if change.number.is_none() && !all.iter().any(|d| d.handle() == name) {
-                return Err(refuse(Kind::Invalid, &format!("drop: no doorway {name:?}"), None));
+                return Err(error_response(ErrorKind::Invalid, &format!("drop: no doorway {name:?}"), None));
             }
             all.retain(|d| d.handle() != name);
         }
@@ -56,28 +56,28 @@
 }
 
 /// The state with a set in force; its faults where it can't be taken.
-pub fn apply(disabled: DisabledGuards, old: &Image, wanted: Wanted) -> Result<Image, Return> {
+pub fn apply(disabled: DisabledGuards, old: &Image, wanted: Wanted) -> Result<Image, HttpResponse> {
     let mut faults = operator::check(&wanted.doorways, &wanted.groups, &wanted.limits);
     let groups: Vec<wire::Group> = wanted.groups.iter().map(|g| member(old, g, &mut faults)).collect();
     if !faults.is_empty() && !disabled.no_check {
-        return Err(refuse(Kind::Invalid, &faults.join("; "), None));
+        return Err(error_response(ErrorKind::Invalid, &faults.join("; "), None));
     }
     let mut new = old.clone();
     new.note = wanted.note;
-    new.doorways = wanted.doorways.into_iter().map(doorway).collect();
+    new.routes = wanted.doorways.into_iter().map(doorway).collect();
     new.groups = groups;
-    let kept: Vec<String> = new.groups.iter().flat_map(|g| g.all().cloned()).collect();
+    let kept: Vec<String> = new.groups.iter().flat_map(|g| g.servers_and_leaving().cloned()).collect();
     new.logs.retain(|l| kept.contains(&l.server));
     new.limits = Some(wire::Limits { statement_ms: wanted.limits.statement_ms, idle_ms: wanted.limits.idle_ms });
     Ok(new)
 }
 
-fn doorway(d: operator::Doorway) -> wire::Doorway {
-    wire::Doorway {
+fn doorway(d: operator::Route) -> wire::Route {
+    wire::Route {
         name: d.name,
         group: d.group,
-        promise: d.promise,
-        fall: d.fall,
+        consistency: d.promise,
+        fallback: d.fall,
         tag: d.tag,
         statement_ms: d.statement_ms,
         aim_ms: d.aim_ms,
@@ -107,7 +107,7 @@
         name: g.name.clone(),
         servers: g.servers.clone(),
         cap: g.cap,
-        leavers: Vec::new(),
+        leaving_servers: Vec::new(),
         confirms: g.confirms,
         note: g.note.clone(),
     };
@@ -118,13 +118,13 @@
     }
     let mut fault = |text: String| faults.push(format!("group {:?}: {text}", g.name));
     for s in &g.servers {
-        if let Some(o) = old.root(s).filter(|o| o.name != g.name) {
+        if let Some(o) = old.group_including_leaving(s).filter(|o| o.name != g.name) {
             fault(format!("server {s:?} is of group {:?}; take it out there first", o.name));
         }
     }
     let Some(was) = old.groups.iter().find(|o| o.name == g.name) else { return new };
-    new.leavers.clone_from(&was.leavers);
-    if old.elect(&g.name).is_none() {
+    new.leaving_servers.clone_from(&was.leaving_servers);
+    if old.election(&g.name).is_none() {
         return new;
     }
     let lost: Vec<&String> = was.servers.iter().filter(|s| !g.servers.contains(s)).collect();
@@ -133,22 +133,22 @@
         fault(format!("one server at a time; this adds {more:?} and takes out {lost:?}"));
     }
     if lost.len() + more.len() > 0
-        && let Some(l) = was.leavers.first()
+        && let Some(l) = was.leaving_servers.first()
     {
         fault(format!("server {l:?} is still being taken out; what it may alone hold is not yet held elsewhere"));
     }
     // One that never counted holds nothing that has to be waited for.
-    new.leavers.extend(lost.into_iter().filter(|s| old.log(s).is_some()).cloned());
+    new.leaving_servers.extend(lost.into_iter().filter(|s| old.log(s).is_some()).cloned());
     new
 }
 
 /// The doorways in the operators' form.
-pub fn doorways(image: &Image) -> Vec<operator::Doorway> {
-    let row = |d: &wire::Doorway| operator::Doorway {
+pub fn doorways(image: &Image) -> Vec<operator::Route> {
+    let row = |d: &wire::Route| operator::Route {
         name: d.name.clone(),
         group: d.group.clone(),
-        promise: d.promise.clone(),
-        fall: d.fall,
+        promise: d.consistency.clone(),
+        fall: d.fallback,
         tag: d.tag.clone(),
         statement_ms: d.statement_ms,
         aim_ms: d.aim_ms,
@@ -156,7 +156,7 @@
         rank: d.rank,
         note: d.note.clone(),
     };
-    image.doorways.iter().map(row).collect()
+    image.routes.iter().map(row).collect()
 }
 
 /// The groups in the operators' form.
--- a/hub/src/operator/evacuation.rs
+++ b/hub/src/operator/evacuation.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use base::{Kind, edge::refuse, http::Return};
+use base::{ErrorKind, edge::error_response, http::HttpResponse};
 use wire::Image;
 
 use super::{Done, order::answer};
@@ -27,7 +27,7 @@
         }
         names.extend(self.listed_zones.iter().cloned());
         let led_for = now.saturating_sub(self.consensus.term().1);
-        let complete = !self.listed_zones.is_empty() || led_for > self.bounds.gone() * 2;
+        let complete = !self.listed_zones.is_empty() || led_for > self.bounds.server_gone_after() * 2;
         Zones { names, complete }
     }
 
@@ -40,11 +40,17 @@
     }
 }
 
-fn evacuate(disabled: DisabledGuards, mut zones: Zones, old: &Image, zone: &str, empty: bool) -> Result<Image, Return> {
+fn evacuate(
+    disabled: DisabledGuards,
+    mut zones: Zones,
+    old: &Image,
+    zone: &str,
+    empty: bool,
+) -> Result<Image, HttpResponse> {
     if !disabled.soft_zones {
-        zones.names.extend(old.spots.iter().map(|s| s.area.clone()));
+        zones.names.extend(old.server_addresses.iter().map(|s| s.zone.clone()));
     }
-    let is_empty = old.emptied.iter().any(|z| z == zone);
+    let is_empty = old.evacuated_zones.iter().any(|z| z == zone);
     if is_empty == empty && (is_empty || zones.names.contains(zone)) && !disabled.soft_zones {
         // Sent again: it is as it was to be.
         return Err(answer(old));
@@ -53,10 +59,10 @@
         return Err(zones.doubt(format!("area {zone:?}: no server or node tells of it")));
     }
     let mut new = old.clone();
-    new.emptied.retain(|z| z != zone);
+    new.evacuated_zones.retain(|z| z != zone);
     if empty {
-        new.emptied.push(zone.into());
-        if zones.names.iter().all(|z| new.emptied.contains(z)) {
+        new.evacuated_zones.push(zone.into());
+        if zones.names.iter().all(|z| new.evacuated_zones.contains(z)) {
             return Err(zones.doubt(format!("area {zone:?}: it is the last one not emptied")));
         }
     }
@@ -66,8 +72,8 @@
 
 impl Zones {
     /// Refuses an order where all zones are known; otherwise it is to be sent again.
-    fn doubt(&self, text: String) -> Return {
-        let kind = if self.complete { Kind::Invalid } else { Kind::Unconfirmed };
-        refuse(kind, &text, None)
+    fn doubt(&self, text: String) -> HttpResponse {
+        let kind = if self.complete { ErrorKind::Invalid } else { ErrorKind::Unconfirmed };
+        error_response(kind, &text, None)
     }
 }
--- a/hub/src/operator/identity.rs
+++ b/hub/src/operator/identity.rs
@@ -59,32 +59,32 @@
     /// What the state tells of this order, which builds on version `after`.
     pub fn recall(&self, image: &Image, after: Option<u64>) -> Memory {
         let record = self.record();
-        let known = image.orders.chunks_exact(RECORD_BYTES).any(|r| r == record);
-        let known_of_old = image.taken.contains(&wire::Taken { number: self.number, sum: self.old_sum });
+        let known = image.applied_orders.chunks_exact(RECORD_BYTES).any(|r| r == record);
+        let known_of_old = image.legacy_orders.contains(&wire::LegacyOrder { number: self.number, sum: self.old_sum });
         if known || known_of_old {
             return Memory::Taken;
         }
         // One whose number is not above what it builds on was never taken, however long ago it came.
         let may_have_been = after.is_none_or(|a| a < self.number);
-        if may_have_been && self.number <= image.forgotten { Memory::Forgotten } else { Memory::New }
+        if may_have_been && self.number <= image.highest_forgotten_order { Memory::Forgotten } else { Memory::New }
     }
 
     /// Notes in the state that the order was taken, and drops the oldest ones over the bound.
     pub fn remember(&self, image: &mut Image) {
-        image.number = self.number;
-        image.orders.extend(self.record());
-        let count = image.orders.len() / RECORD_BYTES + image.taken.len();
+        image.operator_version = self.number;
+        image.applied_orders.extend(self.record());
+        let count = image.applied_orders.len() / RECORD_BYTES + image.legacy_orders.len();
         let mut over = count.saturating_sub(REMEMBERED);
         // Those of the form of old are the oldest.
-        let of_old = over.min(image.taken.len());
-        for dropped in image.taken.drain(..of_old) {
-            image.forgotten = image.forgotten.max(dropped.number);
+        let of_old = over.min(image.legacy_orders.len());
+        for dropped in image.legacy_orders.drain(..of_old) {
+            image.highest_forgotten_order = image.highest_forgotten_order.max(dropped.number);
         }
         over -= of_old;
-        for dropped in image.orders.drain(..over * RECORD_BYTES).as_slice().chunks_exact(RECORD_BYTES) {
+        for dropped in image.applied_orders.drain(..over * RECORD_BYTES).as_slice().chunks_exact(RECORD_BYTES) {
             let mut number = [0; NUMBER_BYTES];
             number.copy_from_slice(&dropped[..NUMBER_BYTES]);
-            image.forgotten = image.forgotten.max(u64::from_be_bytes(number));
+            image.highest_forgotten_order = image.highest_forgotten_order.max(u64::from_be_bytes(number));
         }
     }
 }
--- a/hub/src/rescue.rs
+++ b/hub/src/rescue.rs
@@ -1,6 +1,6 @@
 //! The way back from two lost disks, taken knowingly by a person.
 
-use base::seam::Env;
+use base::runtime::Env;
 
 use crate::store::{Found, Store};
 
@@ -17,13 +17,13 @@
     }
     let take = format!("take-{}-{}-{}", image.sequence, state.version_term, state.version_index);
     let elects: Vec<String> =
-        image.elects.iter().map(|e| format!("{} led by {} on line {}", e.group, e.server, e.line)).collect();
+        image.elections.iter().map(|e| format!("{} led by {} on line {}", e.group, e.server, e.epoch)).collect();
     let held = format!(
         "This disk holds sequence {} (term {}, count {}): {} doorways, {} groups, {}.",
         image.sequence,
         state.version_term,
         state.version_index,
-        image.doorways.len(),
+        image.routes.len(),
         image.groups.len(),
         elects.join(", ")
     );
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -3,16 +3,16 @@
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 
 use base::{
-    http::{self, Door, Session},
+    http::{self, Endpoint, RequestHandler},
     loop_lag::LoopLag,
-    seam::{Env, Part},
-    settings::Place,
-    talk::ServerProtocol,
-    tree::Tree,
+    protocol::ServerProtocol,
+    runtime::{Component, Env},
+    settings::NodeConfig,
+    supervisor::Supervisor,
 };
 use wire::{
-    Ask, AskReturn, Beat, BeatReturn, Body, Hello, Out, Snapshot,
-    relay::{Head, Relay, Who},
+    Body, ForwardedRequest, ForwardedResponse, Hello, LinkWriter, NodeHeartbeat, NodeHeartbeatAck, Snapshot,
+    relay::{NodeIdentity, Relay, RelayHandler},
 };
 
 use crate::{
@@ -77,9 +77,9 @@
     pub consensus: Rc<Consensus>,
     pub leadership: Rc<Leadership>,
     pub relay: Rc<Relay>,
-    pub door: Door,
-    _tree: Tree,
-    _desk: [base::seam::Job; 2],
+    pub door: Endpoint,
+    _tree: Supervisor,
+    _desk: [base::runtime::TaskGuard; 2],
 }
 
 struct Root {
@@ -94,40 +94,47 @@
     }
 }
 
-impl Head for Root {
-    fn rooted(&self) -> bool {
+impl RelayHandler for Root {
+    fn is_leader(&self) -> bool {
         self.consensus.leads()
     }
 
-    fn beat(&self, _beat: &mut Beat) {}
+    fn fill_heartbeat(&self, _beat: &mut NodeHeartbeat) {}
 
-    fn returned(&self, _ret: BeatReturn, _sent: std::time::Duration) {}
+    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: std::time::Duration) {}
 
-    fn news(&self, _news: &Rc<Snapshot>) {}
+    fn on_snapshot(&self, _news: &Rc<Snapshot>) {}
 
-    fn beaten(&self, beat: Beat) -> Option<BeatReturn> {
+    fn handle_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         self.leadership().on_heartbeat(beat)
     }
 
-    fn asked(&self, ask: Ask, done: Box<dyn FnOnce(AskReturn)>) {
+    fn handle_request(&self, ask: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>) {
         let leadership = self.leadership();
         let task = async move {
             let out = leadership.answer(&ask.method, &ask.path, ask.body).await;
             let retry = out.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
-            let (origin, boot, nonce) = (ask.origin, ask.boot, ask.nonce);
-            done(AskReturn { origin, nonce, code: u32::from(out.code), retry, body: out.body, boot });
+            let (origin, boot, nonce) = (ask.origin, ask.boot_id, ask.nonce);
+            done(ForwardedResponse {
+                origin,
+                nonce,
+                status: u32::from(out.status),
+                retry_after_s: retry,
+                body: out.body,
+                boot_id: boot,
+            });
         };
         self.env.spawn(task).detach();
     }
 
-    fn other(&self, from: &Hello, body: Body, out: &Out) {
-        if from.hub && self.consensus.agrees(&from.name, from.rule) {
+    fn on_other_frame(&self, from: &Hello, body: Body, out: &LinkWriter) {
+        if from.hub && self.consensus.agrees(&from.name, from.bounds_digest) {
             self.consensus.frame(&from.name, body, Some(out.clone()));
         }
     }
 
-    fn met(&self, from: &Hello) {
-        if from.hub && self.consensus.agrees(&from.name, from.rule) {
+    fn on_peer_connected(&self, from: &Hello) {
+        if from.hub && self.consensus.agrees(&from.name, from.bounds_digest) {
             self.consensus.met(&from.peer);
         }
     }
@@ -136,39 +143,41 @@
         self.consensus.addresses().into_iter().collect()
     }
 
-    fn hello(&self, hello: &mut Hello) {
+    fn fill_hello(&self, hello: &mut Hello) {
         self.consensus.hello(hello);
     }
 }
 
 /// Starts a hub; it runs for as long as the returned value lives.
-pub async fn run(env: &Env, place: &Place, disabled: DisabledGuards) -> Result<Hub, Fault> {
+pub async fn run(env: &Env, place: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
     run_in(env, place, disabled, None).await
 }
 
 /// Starts a hub that speaks to servers which confirm commits in the users' manner.
 pub async fn run_in(
     env: &Env,
-    place: &Place,
+    place: &NodeConfig,
     disabled: DisabledGuards,
     manner: Option<Rc<dyn ServerProtocol>>,
 ) -> Result<Hub, Fault> {
-    let who = Who {
+    let who = NodeIdentity {
         name: place.name.clone(),
-        area: place.area.clone(),
-        hub: true,
+        zone: place.zone.clone(),
+        is_control_node: true,
         peer: place.peer,
         http: place.http,
         seeds: place.seeds.clone(),
-        boot: env.rand(),
+        boot_id: env.rand(),
     };
     let (mut store, mut state, found) = Store::open(env, LOG).await?;
     if disabled.no_recall {
         state = Default::default();
     }
     match found {
-        Found::Fresh => env.log(Part::Disk, "the data folder is empty"),
-        Found::Torn => env.log(Part::Disk, "no slot can be read; starting with an empty disk of a new incarnation"),
+        Found::Fresh => env.log(Component::Disk, "the data folder is empty"),
+        Found::Torn => {
+            env.log(Component::Disk, "no slot can be read; starting with an empty disk of a new incarnation")
+        }
         Found::Whole => {}
     }
     if state.incarnation == 0 {
@@ -180,7 +189,7 @@
         store.keep(&state).await;
     }
     let peer = env.listen(place.peer).await?;
-    let sock: http::Slot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
+    let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
     let guards = Guards {
         any_incarnation: disabled.blank_votes,
         no_lease: disabled.no_lease,
@@ -192,39 +201,39 @@
     };
     let identity = Identity {
         name: place.name.clone(),
-        zone: place.area.clone(),
+        zone: place.zone.clone(),
         address: place.peer,
         seeds: place.seeds.clone(),
     };
-    let target = place.losses * 2 + 1;
-    let (consensus, jobs) = Consensus::new(env, identity, who.boot, place.bounds.clone(), target, state, guards);
+    let target = place.tolerated_losses * 2 + 1;
+    let (consensus, jobs) = Consensus::new(env, identity, who.boot_id, place.bounds.clone(), target, state, guards);
     let relay = Relay::new(env, who.clone(), place.bounds.clone());
     let root = Rc::new(Root { consensus: consensus.clone(), leadership: Default::default(), env: env.clone() });
     let leadership = Leadership::new(env, consensus.clone(), relay.clone(), place, manner, disabled);
     *root.leadership.borrow_mut() = Some(leadership.clone());
-    relay.lead(root);
-    let door = Door::new(place.most_sessions, place.most_body);
+    relay.set_handler(root);
+    let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
 
     let desk = [env.spawn(consensus.clone().run(jobs, store)), env.spawn(consensus.clone().ticks())];
-    let mut tree = Tree::new(env);
+    let mut tree = Supervisor::new(env);
     let a = consensus.clone();
     tree.child("peers", move || a.clone().keep_links());
-    relay.tend(&mut tree, peer);
+    relay.supervise(&mut tree, peer);
     let d = leadership.clone();
     tree.child("leadership", move || d.clone().run());
     let (e, d) = (env.clone(), door.clone());
-    let lag = LoopLag::new(env, place.bounds.pulse());
+    let lag = LoopLag::new(env, place.bounds.control_heartbeat());
     let l = lag.clone();
     tree.child("loop lag", move || l.clone().watch());
     let (r, a) = (relay.clone(), consensus.clone());
     tree.child("door", move || {
         let (r, a, l) = (r.clone(), a.clone(), lag.clone());
         let make = Rc::new(move || {
-            Rc::new(Desk { relay: r.clone(), consensus: a.clone(), lag: l.clone() }) as Rc<dyn Session>
+            Rc::new(Desk { relay: r.clone(), consensus: a.clone(), lag: l.clone() }) as Rc<dyn RequestHandler>
         });
         http::serve(e.clone(), sock.clone(), d.clone(), make)
     });
-    env.log(Part::Main, format!("hub {} in area {} serves {}", who.name, who.area, place.http));
+    env.log(Component::Main, format!("hub {} in area {} serves {}", who.name, who.zone, place.http));
     Ok(Hub { consensus, leadership, relay, door, _tree: tree, _desk: desk })
 }
 
@@ -238,6 +247,6 @@
     pub async fn leave(&self) {
         self.consensus.leave().await;
         self.relay.leave();
-        self.door.end();
+        self.door.close_idle();
     }
 }
--- a/hub/src/store/mod.rs
+++ b/hub/src/store/mod.rs
@@ -4,7 +4,7 @@
 
 use std::{io, rc::Rc};
 
-use base::seam::{Disk, Env, Part};
+use base::runtime::{Component, Disk, Env};
 use wire::Image;
 
 pub use record::{FORMAT, HEAD, decode, encode};
@@ -140,7 +140,7 @@
                 (state, 0)
             }
         };
-        env.log(Part::Disk, format!("slot turn {} and {steps} log records read", me.turn));
+        env.log(Component::Disk, format!("slot turn {} and {steps} log records read", me.turn));
         Ok((me, state, Found::Whole))
     }
 
@@ -203,11 +203,11 @@
         match self.save(state).await {
             Ok(()) => true,
             Err(e) if e.kind() == io::ErrorKind::StorageFull => {
-                self.env.log(Part::Disk, "the disk is full; nothing new is taken");
+                self.env.log(Component::Disk, "the disk is full; nothing new is taken");
                 false
             }
             Err(e) => {
-                self.env.die(&format!("sync failed: {e}"));
+                self.env.abort_process(&format!("sync failed: {e}"));
                 futures::future::pending().await
             }
         }
--- a/hub/tests/consensus_days.rs
+++ b/hub/tests/consensus_days.rs
@@ -376,7 +376,7 @@
     }
     run_for(&mut world, Duration::from_secs(1));
     assert!(world.leads(top));
-    let rows = |i: usize| world.nodes[i].disk.image.as_ref().map_or(0, |image| image.doorways.len());
+    let rows = |i: usize| world.nodes[i].disk.image.as_ref().map_or(0, |image| image.routes.len());
     for index in world.running() {
         assert_eq!((world.nodes[index].disk.term, rows(index)), (term, 2000), "h{index}");
     }
@@ -412,7 +412,7 @@
     world.bytes_sent = 0;
     world.add_doorways(top, 1);
     world.run_on(timing().heartbeat / 4);
-    let rows = |i: usize| world.nodes[i].disk.image.as_ref().map_or(0, |image| image.doorways.len());
+    let rows = |i: usize| world.nodes[i].disk.image.as_ref().map_or(0, |image| image.routes.len());
     assert!(world.running().iter().all(|i| rows(*i) == 2001));
     assert!(world.bytes_sent < 20_000, "{} bytes", world.bytes_sent);
 }
--- a/hub/tests/leases.rs
+++ b/hub/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hub::leases::{Holder, LeaseTable, Share};
-use wire::{Beat, Held};
+use wire::{HeldShare, NodeHeartbeat};
 
 const SPAN: Duration = Duration::from_secs(2);
 const NOW: Duration = Duration::from_secs(100);
@@ -12,13 +12,19 @@
     Holder { node: "n1", boot, nonce }
 }
 
-fn beat(boot: u64, heard: u64) -> Beat {
-    Beat { name: "n1".into(), boot, heard, ..Beat::default() }
+fn beat(boot: u64, heard: u64) -> NodeHeartbeat {
+    NodeHeartbeat { name: "n1".into(), boot_id: boot, last_ack_nonce: heard, ..NodeHeartbeat::default() }
 }
 
 fn table() -> LeaseTable {
     let mut table = LeaseTable::new(Duration::ZERO);
-    table.told(&Beat { shares: vec![Held { server: "s1".into(), want: 9, ..Held::default() }], ..beat(2, 0) }, NOW);
+    table.told(
+        &NodeHeartbeat {
+            shares: vec![HeldShare { server: "s1".into(), want: 9, ..HeldShare::default() }],
+            ..beat(2, 0)
+        },
+        NOW,
+    );
     table.give_primary("g1", holder(2, 5), NOW + SPAN);
     assert_eq!(
         table.share("s1", holder(2, 5), 9, NOW, NOW + SPAN, false),
@@ -31,10 +37,10 @@
 #[test]
 fn word_of_an_earlier_run_takes_no_lease_of_the_next_run_back() {
     let mut table = table();
-    table.told(&Beat { leaving: true, ..beat(1, 900) }, NOW);
+    table.told(&NodeHeartbeat { leaving: true, ..beat(1, 900) }, NOW);
     table.told(&beat(1, 900), NOW);
-    let empty = Held { server: "s1".into(), ..Held::default() };
-    table.told(&Beat { shares: vec![empty], ..beat(1, 900) }, NOW);
+    let empty = HeldShare { server: "s1".into(), ..HeldShare::default() };
+    table.told(&NodeHeartbeat { shares: vec![empty], ..beat(1, 900) }, NOW);
     assert!(!table.primary_free("g1", NOW));
     assert_eq!(table.out(NOW), [("s1".to_string(), "n1".to_string(), 9)]);
 }
@@ -45,7 +51,7 @@
     table.told(&beat(2, 6), NOW);
     assert!(table.primary_free("g1", NOW));
     let mut table = self::table();
-    table.told(&Beat { leaving: true, ..beat(2, 0) }, NOW);
+    table.told(&NodeHeartbeat { leaving: true, ..beat(2, 0) }, NOW);
     assert!(table.primary_free("g1", NOW) && table.out(NOW).is_empty());
 }
 
@@ -54,7 +60,7 @@
     let table = table();
     let left = table.left(NOW);
     let mut next = LeaseTable::inherit(NOW, NOW, &left);
-    next.told(&Beat { leaving: true, ..beat(1, 900) }, NOW);
+    next.told(&NodeHeartbeat { leaving: true, ..beat(1, 900) }, NOW);
     assert!(!next.primary_free("g1", NOW + SPAN));
     assert!(next.primary_free("g1", NOW + SPAN + Duration::from_millis(2)));
 }
@@ -74,9 +80,15 @@
     for turn in 1..=240 {
         let now = NOW + HEARTBEAT * turn;
         for (i, name) in names.iter().enumerate() {
-            let told = Held { server: "s1".into(), count: held[i], want: 1 };
+            let told = HeldShare { server: "s1".into(), count: held[i], want: 1 };
             let nonce = u64::from(turn);
-            let beat = Beat { name: name.clone(), boot: 1, heard: nonce, shares: vec![told], ..Beat::default() };
+            let beat = NodeHeartbeat {
+                name: name.clone(),
+                boot_id: 1,
+                last_ack_nonce: nonce,
+                shares: vec![told],
+                ..NodeHeartbeat::default()
+            };
             table.told(&beat, now);
             let to = Holder { node: name, boot: 1, nonce };
             let share = table.share("s1", to, CAP, now, now + SPAN, soft);
--- a/hub/tests/model/world.rs
+++ b/hub/tests/model/world.rs
@@ -8,7 +8,7 @@
     consensus::{Clock, Core, Effect, Guards, Identity, Input, Message, PeerHello, Ticket, Timing, has_quorum},
     store::{DurableState, Version},
 };
-use wire::{Doorway, Frame, Image, Member, Message as _};
+use wire::{Frame, Image, Member, Message as _, Route};
 
 use super::{
     dice::Dice,
@@ -304,9 +304,9 @@
     pub fn add_doorways(&mut self, index: usize, count: usize) {
         let change = Box::new(move |image: &Image| {
             let mut next = image.clone();
-            let first = image.doorways.len();
-            let doorway = |n| Doorway { name: format!("d{n}"), note: "n".repeat(250), ..Doorway::default() };
-            next.doorways.extend((first..first + count).map(doorway));
+            let first = image.routes.len();
+            let doorway = |n| Route { name: format!("d{n}"), note: "n".repeat(250), ..Route::default() };
+            next.routes.extend((first..first + count).map(doorway));
             Some(next)
         });
         let ticket = self.ticket(Call::Read);
--- a/hub/tests/orders.rs
+++ b/hub/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use hub::operator::identity::{Identity, Memory, RECORD_BYTES, REMEMBERED};
 use prost::Message;
-use wire::{Image, Taken};
+use wire::{Image, LegacyOrder};
 
 fn order(after: u64, number: u64, body: &str) -> Identity {
     Identity::new("PUT", Some(after), number, body.as_bytes())
@@ -12,7 +12,7 @@
 fn an_order_is_told_by_method_base_number_and_body() {
     let mut image = Image::default();
     order(3, 5, "a").remember(&mut image);
-    assert_eq!(image.number, 5);
+    assert_eq!(image.operator_version, 5);
     assert_eq!(order(3, 5, "a").recall(&image, Some(3)), Memory::Taken);
     let patch = Identity::new("PATCH", Some(3), 5, b"a");
     let none = Identity::new("PUT", None, 5, b"a");
@@ -27,9 +27,9 @@
     for n in 1..=REMEMBERED as u64 + 10 {
         order(n * 2 - 2, n * 2, "a").remember(&mut image);
     }
-    assert_eq!(image.orders.len(), REMEMBERED * RECORD_BYTES);
-    assert_eq!(image.orders.len(), 12_288);
-    assert_eq!(image.forgotten, 20);
+    assert_eq!(image.applied_orders.len(), REMEMBERED * RECORD_BYTES);
+    assert_eq!(image.applied_orders.len(), 12_288);
+    assert_eq!(image.highest_forgotten_order, 20);
     assert_eq!(order(18, 20, "a").recall(&image, Some(18)), Memory::Forgotten);
     assert_eq!(order(20, 22, "a").recall(&image, Some(20)), Memory::Taken);
     // Its number is not above what it builds on: it was never taken.
@@ -43,7 +43,7 @@
 fn records_of_the_form_of_old_are_read_and_give_way_first() {
     let body = b"old";
     let sum = u64::from(crc32fast::hash(body)) << 32 | body.len() as u64;
-    let old = Image { number: 7, taken: vec![Taken { number: 7, sum }], ..Image::default() };
+    let old = Image { operator_version: 7, legacy_orders: vec![LegacyOrder { number: 7, sum }], ..Image::default() };
     let mut image = Image::decode(&*old.encode_to_vec()).unwrap();
     let again = Identity::new("PUT", Some(3), 7, body);
     assert_eq!(again.recall(&image, Some(3)), Memory::Taken);
@@ -52,5 +52,5 @@
     }
     assert_eq!(again.recall(&image, Some(3)), Memory::Taken);
     order(600, 601, "a").remember(&mut image);
-    assert_eq!((again.recall(&image, Some(3)), image.forgotten), (Memory::Forgotten, 7));
+    assert_eq!((again.recall(&image, Some(3)), image.highest_forgotten_order), (Memory::Forgotten, 7));
 }
--- a/hub/tests/store.rs
+++ b/hub/tests/store.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
-use base::seam::{Disk, Env, Listener, Local, Part, Stream, World};
+use base::runtime::{Component, Disk, Env, Listener, LocalFuture, Runtime, Stream};
 use bolero::check;
 use futures::executor::block_on;
 use hub::store::{DurableState, FORMAT, Fault, Found, Store, decode, encode};
@@ -11,12 +11,12 @@
 struct Mem(Rc<RefCell<BTreeMap<String, Vec<u8>>>>, Rc<std::cell::Cell<bool>>);
 
 impl Disk for Mem {
-    fn read(&self, name: &str) -> Local<std::io::Result<Option<Vec<u8>>>> {
+    fn read(&self, name: &str) -> LocalFuture<std::io::Result<Option<Vec<u8>>>> {
         let out = self.0.borrow().get(name).cloned();
         Box::pin(async move { Ok(out) })
     }
 
-    fn write(&self, name: &str, data: Vec<u8>) -> Local<std::io::Result<()>> {
+    fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<std::io::Result<()>> {
         if self.1.get() {
             return Box::pin(async { Err(std::io::ErrorKind::StorageFull.into()) });
         }
@@ -24,7 +24,7 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> Local<std::io::Result<()>> {
+    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<std::io::Result<()>> {
         if self.1.get() {
             return Box::pin(async { Err(std::io::ErrorKind::StorageFull.into()) });
         }
@@ -39,30 +39,30 @@
 
 struct Room(Mem);
 
-impl World for Room {
+impl Runtime for Room {
     fn now(&self) -> Duration {
         Duration::ZERO
     }
-    fn sleep(&self, _: Duration) -> Local<()> {
+    fn sleep(&self, _: Duration) -> LocalFuture<()> {
         unreachable!("a store does not wait")
     }
-    fn spawn(&self, _: Local<()>) {
+    fn spawn(&self, _: LocalFuture<()>) {
         unreachable!("a store starts nothing")
     }
     fn rand(&self) -> u64 {
         4
     }
-    fn listen(&self, _: std::net::SocketAddr) -> Local<std::io::Result<Rc<dyn Listener>>> {
+    fn listen(&self, _: std::net::SocketAddr) -> LocalFuture<std::io::Result<Rc<dyn Listener>>> {
         unreachable!("a store does not listen")
     }
-    fn connect(&self, _: std::net::SocketAddr) -> Local<std::io::Result<Box<dyn Stream>>> {
+    fn connect(&self, _: std::net::SocketAddr) -> LocalFuture<std::io::Result<Box<dyn Stream>>> {
         unreachable!("a store does not connect")
     }
     fn disk(&self) -> Option<Rc<dyn Disk>> {
         Some(Rc::new(self.0.clone()))
     }
-    fn log(&self, _: Part, _: &str) {}
-    fn die(&self, text: &str) {
+    fn log(&self, _: Component, _: &str) {}
+    fn abort_process(&self, text: &str) {
         panic!("{text}")
     }
 }
--- a/kit/src/fleet/members.rs
+++ b/kit/src/fleet/members.rs
@@ -1,21 +1,27 @@
 use std::{net::SocketAddr, time::Duration};
 
 use base::{
-    edge::operator::{Change, Readback},
-    http::Return,
-    seam::Env,
+    edge::operator::{ConfigurationChange, ConfigurationView},
+    http::HttpResponse,
+    runtime::Env,
 };
 use nanoserde::SerJson;
 
 use super::ask;
 
 /// Puts a server into a group or takes it out, through some node: reads the set back and changes that one group.
-pub async fn member(env: &Env, node: SocketAddr, group: &str, server: &str, join: bool) -> Result<Return, String> {
+pub async fn member(
+    env: &Env,
+    node: SocketAddr,
+    group: &str,
+    server: &str,
+    join: bool,
+) -> Result<HttpResponse, String> {
     let out = ask(env, node, "GET", "/ops/doorways", "").await.ok_or(format!("{node} does not answer"))?;
-    if out.code != 200 {
+    if out.status != 200 {
         return Ok(out);
     }
-    let set: Readback = base::strict::read(&out.body).map_err(|e| e.to_string())?;
+    let set: ConfigurationView = base::strict::read(&out.body).map_err(|e| e.to_string())?;
     let mut groups = set.groups;
     groups.retain(|g| if join { g.name == group } else { g.servers.iter().any(|s| s == server) });
     let Some(g) = groups.first_mut() else { return Err(format!("no group {group:?} or none with {server:?}")) };
@@ -24,7 +30,7 @@
     } else {
         g.servers.retain(|s| s != server);
     }
-    let change = Change { groups, ..Change::against(set.sequence) };
+    let change = ConfigurationChange { groups, ..ConfigurationChange::based_on(set.sequence) };
     let out = ask(env, node, "PATCH", "/ops/doorways", &change.serialize_json()).await;
     out.ok_or(format!("{node} does not answer; read back before asking again"))
 }
@@ -32,10 +38,10 @@
 /// The same through any node, until it is done or refused for good; whether it was acknowledged.
 pub async fn member_somehow(env: &Env, nodes: &[SocketAddr], group: &str, server: &str, join: bool) -> bool {
     for _ in 0..60 {
-        let at = env.below(nodes.len() as u64) as usize;
+        let at = env.rand_below(nodes.len() as u64) as usize;
         match member(env, nodes[at], group, server, join).await {
-            Ok(r) if r.code == 200 => return true,
-            Ok(r) if r.code == 422 && !String::from_utf8_lossy(&r.body).contains("still being") => return false,
+            Ok(r) if r.status == 200 => return true,
+            Ok(r) if r.status == 422 && !String::from_utf8_lossy(&r.body).contains("still being") => return false,
             // Already there, perhaps by an answer that was lost.
             Err(e) if e.starts_with("no group") => return true,
             _ => env.sleep(Duration::from_millis(300)).await,
--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf, rc::Rc, time::Duration};
 
-use base::{http::Client, http::Return, seam::Env};
+use base::{http::Client, http::HttpResponse, runtime::Env};
 use bytes::Bytes;
 
 use crate::{
@@ -40,7 +40,7 @@
 const CALL: Duration = Duration::from_secs(2);
 
 /// Sends one request to a process of the fleet.
-pub async fn ask(env: &Env, addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<Return> {
+pub async fn ask(env: &Env, addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<HttpResponse> {
     let body = Bytes::copy_from_slice(body.as_bytes());
     Client::once(env, addr, method, path, &[], body, CALL).await.ok()
 }
@@ -84,10 +84,10 @@
     let end = env.now() + most;
     let mut why = "nobody answered".to_string();
     while env.now() < end {
-        let at = env.below(layout.spokes.len() as u64) as usize;
+        let at = env.rand_below(layout.spokes.len() as u64) as usize;
         match ask(env, layout.spokes[at].http, "PUT", "/ops/doorways", &set).await {
-            Some(r) if r.code == 200 => return Ok(String::from_utf8_lossy(&r.body).into()),
-            Some(r) => why = format!("{} {}", r.code, String::from_utf8_lossy(&r.body)),
+            Some(r) if r.status == 200 => return Ok(String::from_utf8_lossy(&r.body).into()),
+            Some(r) => why = format!("{} {}", r.status, String::from_utf8_lossy(&r.body)),
             None => {}
         }
         env.sleep(Duration::from_millis(100)).await;
@@ -139,12 +139,12 @@
     let drive = {
         let (env, plan, history) = (env.clone(), plan.clone(), history.clone());
         let done = Rc::new(std::cell::Cell::new(false));
-        let bell = base::bell::Bell::default();
+        let bell = base::notify::Notify::default();
         let (d, b, e) = (done.clone(), bell.clone(), env.clone());
         let job = env.spawn(async move {
             load::run(&e, &plan, &history).await;
             d.set(true);
-            b.ring();
+            b.notify_waiters();
         });
         (job, done, bell)
     };
@@ -155,7 +155,7 @@
         println!("{:>6.1} s: {text}", (env.now() - start).as_secs_f64());
     }
     let (_job, done, bell) = drive;
-    bell.until(|| done.get().then_some(())).await;
+    bell.wait_until(|| done.get().then_some(())).await;
     procs.revive(&layout)?;
     env.sleep(Duration::from_secs(3)).await;
     let mut findings = Vec::new();
