--- a/kit/src/fleet/scale.rs
+++ b/kit/src/fleet/scale.rs
@@ -11,15 +11,16 @@
 
 use base::{
     Bounds,
-    edge::operator::{Doorway, Group, Set},
+    edge::operator::{Configuration, Group, Route},
     http::Client,
-    seam::Env,
-    tree::Tree,
+    runtime::Env,
+    supervisor::Supervisor,
 };
 use nanoserde::SerJson;
 use wire::{
-    Ask, AskReturn, Beat, BeatReturn, Body, Held, Hello, Out, Sight, Snapshot,
-    relay::{Head, Relay, Who},
+    Body, ForwardedRequest, ForwardedResponse, HeldShare, Hello, LinkWriter, NodeHeartbeat, NodeHeartbeatAck,
+    ServerObservation, Snapshot,
+    relay::{NodeIdentity, Relay, RelayHandler},
 };
 
 use super::{Layout, Procs, Run, ask, chief, configure, ready};
@@ -84,26 +85,32 @@
     seen: RefCell<Option<(u64, Instant)>>,
 }
 
-impl Head for Hollow {
-    fn rooted(&self) -> bool {
+impl RelayHandler for Hollow {
+    fn is_leader(&self) -> bool {
         false
     }
 
-    fn beat(&self, beat: &mut Beat) {
+    fn fill_heartbeat(&self, beat: &mut NodeHeartbeat) {
         for s in self.servers.iter() {
-            beat.shares.push(Held { server: s.clone(), count: 2, want: 2 });
-            beat.sights.push(Sight { server: s.clone(), age: 20, line: 1, index: 7, ..Sight::default() });
+            beat.shares.push(HeldShare { server: s.clone(), count: 2, want: 2 });
+            beat.observations.push(ServerObservation {
+                server: s.clone(),
+                age: 20,
+                epoch: 1,
+                index: 7,
+                ..ServerObservation::default()
+            });
         }
     }
 
-    fn returned(&self, _ret: BeatReturn, _sent: Duration) {
+    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: Duration) {
         self.returns.set(self.returns.get() + 1);
         if self.heard.get().is_none() {
             self.heard.set(Some(Instant::now()));
         }
     }
 
-    fn news(&self, news: &Rc<Snapshot>) {
+    fn on_snapshot(&self, news: &Rc<Snapshot>) {
         let sequence = news.image.sequence;
         let mut seen = self.seen.borrow_mut();
         if seen.is_none_or(|s| s.0 < sequence) {
@@ -111,19 +118,19 @@
         }
     }
 
-    fn beaten(&self, _beat: Beat) -> Option<BeatReturn> {
+    fn handle_heartbeat(&self, _beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         None
     }
 
-    fn asked(&self, _ask: Ask, _done: Box<dyn FnOnce(AskReturn)>) {}
+    fn handle_request(&self, _ask: ForwardedRequest, _done: Box<dyn FnOnce(ForwardedResponse)>) {}
 
-    fn other(&self, _from: &Hello, _body: Body, _out: &Out) {}
+    fn on_other_frame(&self, _from: &Hello, _body: Body, _out: &LinkWriter) {}
 }
 
 struct Node {
     head: Rc<Hollow>,
     relay: Rc<Relay>,
-    _tree: Tree,
+    _tree: Supervisor,
 }
 
 /// Processor ticks and peak memory in MB of a process of this fleet, or of this one.
@@ -147,32 +154,34 @@
 }
 
 fn set(layout: &Layout, groups: usize, mark: u64) -> String {
-    let mut all: Vec<Group> = layout.groups().iter().map(|(n, s)| Group::plain(n, s, layout.cap as u64)).collect();
+    let mut all: Vec<Group> =
+        layout.groups().iter().map(|(n, s)| Group::with_defaults(n, s, layout.cap as u64)).collect();
     let servers = |g: usize| (0..3).map(|i| format!("x{g}-{i}")).collect::<Vec<_>>();
-    all.extend((0..groups).map(|g| Group::plain(&format!("x{g}"), &servers(g), 60)));
-    let mut doors: Vec<Doorway> =
-        all.iter().map(|g| Doorway::plain(&format!("d-{}", g.name), &g.name, "bound")).collect();
-    doors.push(Doorway::plain(&format!("mark{mark}"), "g1", "any"));
-    Set { after: None, doorways: doors, groups: all, limits: None, number: None, note: String::new() }.serialize_json()
+    all.extend((0..groups).map(|g| Group::with_defaults(&format!("x{g}"), &servers(g), 60)));
+    let mut doors: Vec<Route> =
+        all.iter().map(|g| Route::with_defaults(&format!("d-{}", g.name), &g.name, "bound")).collect();
+    doors.push(Route::with_defaults(&format!("mark{mark}"), "g1", "any"));
+    Configuration { after: None, doorways: doors, groups: all, limits: None, number: None, note: String::new() }
+        .serialize_json()
 }
 
 async fn join(env: &Env, layout: &Layout, servers: &Rc<Vec<String>>, i: usize) -> std::io::Result<Node> {
     let sock = env.listen("127.0.0.1:0".parse().expect("an address")).await?;
-    let who = Who {
+    let who = NodeIdentity {
         name: format!("hollow{i}"),
-        area: layout.areas[i % 3].clone(),
-        hub: false,
+        zone: layout.areas[i % 3].clone(),
+        is_control_node: false,
         peer: sock.addr(),
         http: sock.addr(),
         seeds: layout.hubs.iter().map(|h| h.peer).collect(),
-        boot: env.rand(),
+        boot_id: env.rand(),
     };
     let relay = Relay::new(env, who, Bounds::default());
     let (heard, returns) = (Cell::default(), Cell::default());
     let head = Rc::new(Hollow { servers: servers.clone(), heard, returns, seen: RefCell::default() });
-    relay.lead(head.clone());
-    let mut tree = Tree::new(env);
-    relay.tend(&mut tree, sock);
+    relay.set_handler(head.clone());
+    let mut tree = Supervisor::new(env);
+    relay.supervise(&mut tree, sock);
     Ok(Node { head, relay, _tree: tree })
 }
 
@@ -258,7 +267,7 @@
     let before = pids.map(|p| usage(p).0);
     let (bytes, at) = (loopback(), Instant::now());
     let sums = |f: &dyn Fn(&Node) -> u64| nodes.iter().map(f).sum::<u64>();
-    let (returns, relayed) = (sums(&|x| x.head.returns.get()), sums(&|x| x.relay.handed.get()));
+    let (returns, relayed) = (sums(&|x| x.head.returns.get()), sums(&|x| x.relay.forwarded_frames.get()));
     env.sleep(scale.span).await;
     let span = at.elapsed().as_secs_f64();
     let after = pids.map(usage);
@@ -269,8 +278,8 @@
         groups: scale.groups + 3,
         joined_ms,
         returns: rate(sums(&|x| x.head.returns.get()), returns),
-        relayed: rate(sums(&|x| x.relay.handed.get()), relayed),
-        depth: nodes.iter().map(|x| x.relay.place().1).max().unwrap_or(0),
+        relayed: rate(sums(&|x| x.relay.forwarded_frames.get()), relayed),
+        depth: nodes.iter().map(|x| x.relay.tree_position().1).max().unwrap_or(0),
         chief_cpu: cpu(0),
         voter_cpu: cpu(1),
         spoke_cpu: cpu(2),
@@ -309,12 +318,12 @@
     for _ in 0..20 {
         let sent = Instant::now();
         match ask(env, layout.spokes[0].http, "PUT", "/ops/doorways", &set(layout, groups, mark)).await {
-            Some(r) if r.code == 200 => {
+            Some(r) if r.status == 200 => {
                 let text = String::from_utf8_lossy(&r.body).to_string();
                 let digits: String = text.chars().filter(char::is_ascii_digit).collect();
                 return Ok((digits.parse().unwrap_or(0), sent));
             }
-            Some(r) => why = format!("{} {}", r.code, String::from_utf8_lossy(&r.body)),
+            Some(r) => why = format!("{} {}", r.status, String::from_utf8_lossy(&r.body)),
             None => {}
         }
         env.sleep(Duration::from_millis(200)).await;
--- a/kit/src/fleet/script.rs
+++ b/kit/src/fleet/script.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use base::seam::Env;
+use base::runtime::Env;
 use rustix::process::Signal;
 
 use super::{Layout, Procs, ask, chief, leader, member_somehow};
@@ -80,7 +80,7 @@
 async fn trouble(env: &Env, layout: &Layout, server: &str, body: &str) -> String {
     match layout.servers.iter().find(|s| s.name == server) {
         Some(s) => match ask(env, s.addr, "POST", "/trouble", body).await {
-            Some(r) => format!("{server} told {body}: {}", r.code),
+            Some(r) => format!("{server} told {body}: {}", r.status),
             None => format!("{server} did not answer"),
         },
         None => format!("no server {server}"),
@@ -91,7 +91,7 @@
     let path = format!("/ops/areas/{area}/{word}");
     for n in &layout.spokes {
         if let Some(r) = ask(env, n.http, "POST", &path, "").await {
-            return format!("area {area} {word}: {} {}", r.code, String::from_utf8_lossy(&r.body));
+            return format!("area {area} {word}: {} {}", r.status, String::from_utf8_lossy(&r.body));
         }
     }
     "no node answered".into()
--- a/kit/src/load/mod.rs
+++ b/kit/src/load/mod.rs
@@ -8,7 +8,7 @@
 
 use std::{cell::Cell, cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-use base::seam::Env;
+use base::runtime::Env;
 
 pub use history::{End, Event, History, Kind};
 pub use odd::{cut_short, thrice};
@@ -46,15 +46,15 @@
 
 /// The doorway set that the plan's databases need, over three groups.
 pub fn doorways(groups: &[(String, Vec<String>)], cap: u64) -> String {
-    use base::edge::operator::{Doorway, Group, Set};
+    use base::edge::operator::{Configuration, Group, Route};
     use nanoserde::SerJson;
     let row = |(i, (name, promise, _)): (usize, &(&str, &str, u64))| {
-        Doorway::plain(name, &groups[i % groups.len()].0, promise)
+        Route::with_defaults(name, &groups[i % groups.len()].0, promise)
     };
-    let set = Set {
+    let set = Configuration {
         after: None,
         doorways: DOORS.iter().enumerate().map(row).collect(),
-        groups: groups.iter().map(|(n, s)| Group::plain(n, s, cap)).collect(),
+        groups: groups.iter().map(|(n, s)| Group::with_defaults(n, s, cap)).collect(),
         limits: None,
         number: None,
         note: String::new(),
@@ -66,7 +66,7 @@
 pub async fn run(env: &Env, plan: &Plan, history: &Rc<History>) {
     let stop = Rc::new(Cell::new(false));
     let left = Rc::new(Cell::new(plan.sessions));
-    let bell = base::bell::Bell::default();
+    let bell = base::notify::Notify::default();
     let start = env.now();
     let mut jobs = Vec::new();
     for i in 0..plan.sessions {
@@ -76,13 +76,13 @@
         jobs.push(env.spawn(async move {
             seat.work(start, gap, &stop).await;
             left.set(left.get() - 1);
-            bell.ring();
+            bell.notify_waiters();
         }));
     }
     env.sleep(plan.span).await;
     stop.set(true);
-    let all = bell.until(|| (left.get() == 0).then_some(()));
-    let _ = env.within(plan.patience * 20, all).await;
+    let all = bell.wait_until(|| (left.get() == 0).then_some(()));
+    let _ = env.timeout(plan.patience * 20, all).await;
 }
 
 /// Numbers that no two seats share.
--- a/kit/src/load/odd.rs
+++ b/kit/src/load/odd.rs
@@ -1,9 +1,9 @@
 use std::{net::SocketAddr, pin::Pin, rc::Rc, time::Duration};
 
 use base::{
-    edge::caller,
-    http::{Client, Return},
-    seam::Env,
+    edge::client,
+    http::{Client, HttpResponse},
+    runtime::Env,
 };
 use nanoserde::SerJson;
 
@@ -34,8 +34,8 @@
     env.sleep(Duration::from_millis(20)).await;
 }
 
-fn kept(out: &Option<Return>) -> &str {
-    out.as_ref().and_then(|r| r.header(caller::KEPT)).unwrap_or("unknown")
+fn kept(out: &Option<HttpResponse>) -> &str {
+    out.as_ref().and_then(|r| r.header(client::WRITE_OUTCOME_HEADER)).unwrap_or("unknown")
 }
 
 /// One attempt that reaches a node three times: over two connections at once, and again afterwards.
@@ -44,7 +44,7 @@
     let (send, val, start) = (format!("twice-{n}"), format!("v{n}"), env.now());
     let call = || async {
         let mut line = Client::connect(env, node.addr, SPAN, 1 << 16).await.ok()?;
-        let head = [(caller::SEND, send.clone())];
+        let head = [(client::ATTEMPT_ID_HEADER, send.clone())];
         line.call("POST", "/db/pay/write", &head, add("k2", &val).into(), SPAN).await.ok()
     };
     let (one, two) = futures::future::join(call(), call()).await;
@@ -63,7 +63,7 @@
         meant: start,
         start,
         done: env.now(),
-        code: one.as_ref().map_or(0, |r| r.code),
+        code: one.as_ref().map_or(0, |r| r.status),
         node: node.name.clone(),
         note: all.join(" "),
     });
--- a/kit/src/load/operator.rs
+++ b/kit/src/load/operator.rs
@@ -7,9 +7,9 @@
 };
 
 use base::{
-    edge::operator::{Change, Doorway, Readback},
+    edge::operator::{ConfigurationChange, ConfigurationView, Route},
     http::Client,
-    seam::Env,
+    runtime::Env,
 };
 use bytes::Bytes;
 use nanoserde::SerJson;
@@ -110,13 +110,13 @@
 impl Operator {
     fn any(&self) -> SocketAddr {
         let all = self.nodes.len() + self.hubs.len();
-        let at = self.env.below(all as u64) as usize;
+        let at = self.env.rand_below(all as u64) as usize;
         self.nodes.iter().chain(&self.hubs).nth(at).expect("there are nodes").addr
     }
 
     async fn ask(&self, addr: SocketAddr, method: &str, path: &str, body: String) -> Option<(u16, Bytes)> {
         let out = Client::once(&self.env, addr, method, path, &[], body.into(), SPAN).await.ok()?;
-        Some((out.code, out.body))
+        Some((out.status, out.body))
     }
 
     fn fault(&self, text: String) {
@@ -124,13 +124,13 @@
     }
 
     /// Reads back the set; checks that it is the newest acknowledged.
-    async fn read_back(&self) -> Option<Readback> {
+    async fn read_back(&self) -> Option<ConfigurationView> {
         let start = self.env.now();
         let (code, body) = self.ask(self.any(), "GET", "/ops/doorways", String::new()).await?;
         if code != 200 {
             return None;
         }
-        let set: Readback = match base::strict::read(&body) {
+        let set: ConfigurationView = match base::strict::read(&body) {
             Ok(s) => s,
             Err(e) => {
                 self.fault(format!("a read-back can't be read: {e}"));
@@ -152,8 +152,8 @@
     }
 
     async fn change(&self, after: u64, group: &str, addr: SocketAddr) -> bool {
-        let put = vec![Doorway::plain(MOVED, group, "any")];
-        let body = Change { put, ..Change::against(after) }.serialize_json();
+        let put = vec![Route::with_defaults(MOVED, group, "any")];
+        let body = ConfigurationChange { put, ..ConfigurationChange::based_on(after) }.serialize_json();
         self.send("PATCH", "/ops/doorways", body, after + 1, group, addr).await
     }
 
@@ -193,7 +193,7 @@
     }
 
     fn group(&self) -> String {
-        self.groups[self.env.below(self.groups.len() as u64) as usize].0.clone()
+        self.groups[self.env.rand_below(self.groups.len() as u64) as usize].0.clone()
     }
 
     async fn race(&self, after: u64) {
@@ -206,8 +206,8 @@
     }
 
     async fn nonsense(&self) {
-        let text = NONSENSE[self.env.below(NONSENSE.len() as u64) as usize];
-        let method = if self.env.below(2) == 0 { "PUT" } else { "PATCH" };
+        let text = NONSENSE[self.env.rand_below(NONSENSE.len() as u64) as usize];
+        let method = if self.env.rand_below(2) == 0 { "PUT" } else { "PATCH" };
         if let Some((code, _)) = self.ask(self.any(), method, "/ops/doorways", text.into()).await
             && code < 400
         {
@@ -219,12 +219,12 @@
         let mut areas: Vec<String> = self.nodes.iter().map(|n| n.area.clone()).collect();
         areas.sort();
         areas.dedup();
-        let area = areas[self.env.below(areas.len() as u64) as usize].clone();
+        let area = areas[self.env.rand_below(areas.len() as u64) as usize].clone();
         let path = format!("/ops/areas/{area}/empty");
         if let Some((200, _)) = self.ask(self.any(), "POST", &path, String::new()).await {
             self.words.emptied(&area, self.env.now(), self.empty);
         }
-        self.env.sleep(Duration::from_millis(6000 + self.env.below(4000))).await;
+        self.env.sleep(Duration::from_millis(6000 + self.env.rand_below(4000))).await;
         self.words.taken_back(&area, self.env.now());
         let path = format!("/ops/areas/{area}/take-back");
         for _ in 0..60 {
@@ -238,9 +238,9 @@
     /// Changes, races, reads back, sends nonsense and empties areas until told to stop.
     pub async fn work(&self, stop: &Rc<Cell<bool>>) {
         while !stop.get() {
-            self.env.sleep(Duration::from_millis(200 + self.env.below(1500))).await;
+            self.env.sleep(Duration::from_millis(200 + self.env.rand_below(1500))).await;
             let Some(set) = self.read_back().await else { continue };
-            match self.env.below(10) {
+            match self.env.rand_below(10) {
                 0..=3 => {
                     self.change(set.sequence, &self.group(), self.any()).await;
                 }
@@ -261,8 +261,8 @@
     pub async fn witness(&self, node: &Node, stop: &Rc<Cell<bool>>) {
         let mut line: Option<Client> = None;
         while !stop.get() {
-            self.env.sleep(Duration::from_millis(150 + self.env.below(200))).await;
-            if !line.as_ref().is_some_and(Client::open) {
+            self.env.sleep(Duration::from_millis(150 + self.env.rand_below(200))).await;
+            if !line.as_ref().is_some_and(Client::is_open) {
                 line = Client::connect(&self.env, node.addr, SPAN, 1 << 20).await.ok();
             }
             let Some(l) = &mut line else { continue };
@@ -273,7 +273,7 @@
                 line = None;
                 continue;
             };
-            if let (200, Some(server)) = (out.code, out.header(base::edge::caller::SERVER)) {
+            if let (200, Some(server)) = (out.status, out.header(base::edge::client::SERVER_HEADER)) {
                 let group = self.groups.iter().find(|g| g.1.iter().any(|s| s == server)).map(|g| g.0.clone());
                 self.words.sights.borrow_mut().push(Sight {
                     node: node.name.clone(),
--- a/kit/src/load/seat.rs
+++ b/kit/src/load/seat.rs
@@ -1,9 +1,9 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 
 use base::{
-    edge::caller::{self, Token},
-    http::{Client, Fault, Return},
-    seam::Env,
+    edge::client::{self, Token},
+    http::{CallError, Client, HttpResponse},
+    runtime::Env,
 };
 use nanoserde::SerJson;
 
@@ -89,12 +89,12 @@
     }
 
     fn chance(&self) -> f64 {
-        self.env.below(1 << 30) as f64 / (1u64 << 30) as f64
+        self.env.rand_below(1 << 30) as f64 / (1u64 << 30) as f64
     }
 
     async fn one(&mut self, meant: Duration) {
         self.gave_up = false;
-        let roll = self.env.below(100);
+        let roll = self.env.rand_below(100);
         match DOORS[self.db].0 {
             "pay" if roll < 45 => self.write(meant).await,
             "pay" if roll < 70 => self.trans(meant).await,
@@ -107,7 +107,7 @@
     }
 
     fn key(&self) -> String {
-        format!("k{}", self.env.below(self.plan.keys))
+        format!("k{}", self.env.rand_below(self.plan.keys))
     }
 
     fn push(&self, kind: Kind, end: End, meant: Duration, start: Duration, code: u16, note: &str) {
@@ -127,7 +127,7 @@
     }
 
     async fn connect(&mut self) -> bool {
-        if self.line.as_ref().is_some_and(Client::open) {
+        if self.line.as_ref().is_some_and(Client::is_open) {
             return true;
         }
         self.line = None;
@@ -137,7 +137,7 @@
         // The platform hands out a node of the zone; one that can't be reached is passed over.
         for turn in 0..4 {
             let list = if turn < 2 && self.env.now() >= self.asleep { &same } else { &self.plan.nodes };
-            let node = list[self.env.below(list.len() as u64) as usize].clone();
+            let node = list[self.env.rand_below(list.len() as u64) as usize].clone();
             if let Ok(c) = Client::connect(&self.env, node.addr, Duration::from_millis(500), 1 << 24).await {
                 self.node = Some(node);
                 self.line = Some(c);
@@ -154,20 +154,21 @@
 
     async fn say(&mut self, verb: &str, send: &str, st: Option<Statement>) -> Option<Reply> {
         let path = format!("/db/{}/{verb}", DOORS[self.db].0);
-        let mut head = vec![(caller::SEND, send.to_string())];
+        let mut head = vec![(client::ATTEMPT_ID_HEADER, send.to_string())];
         if self.token != Token::default() {
-            head.push((caller::TOKEN, self.token.to_string()));
+            head.push((client::TOKEN_HEADER, self.token.to_string()));
         }
         let body = st.map(|s| s.serialize_json()).unwrap_or_default();
         let line = self.line.as_mut()?;
         let body = bytes::Bytes::from(body);
         // Some give up while they wait: what became of it they will not hear.
         let most = self.plan.leave * 4;
-        let short = most > 0 && matches!(verb, "write" | "commit" | "read") && self.env.below(most) == 0;
-        let patience = if short { Duration::from_millis(1 + self.env.below(20)) } else { self.plan.patience };
+        let short = most > 0 && matches!(verb, "write" | "commit" | "read") && self.env.rand_below(most) == 0;
+        let patience = if short { Duration::from_millis(1 + self.env.rand_below(20)) } else { self.plan.patience };
         let mut out = line.call("POST", &path, &head, body.clone(), patience).await;
         self.gave_up = short && out.is_err();
-        if out.as_ref().err() == Some(&Fault::Unsent) && matches!(verb, "read" | "write" | "begin") && !self.inside {
+        if out.as_ref().err() == Some(&CallError::NotSent) && matches!(verb, "read" | "write" | "begin") && !self.inside
+        {
             // Not a byte of it left over the old connection: it goes over a new one.
             self.leave();
             if self.connect().await {
@@ -184,11 +185,11 @@
         }
     }
 
-    fn heard(&mut self, r: Return) -> Reply {
-        if let Some(t) = r.header(caller::TOKEN).and_then(|t| t.parse().ok()) {
-            self.token.join(t);
+    fn heard(&mut self, r: HttpResponse) -> Reply {
+        if let Some(t) = r.header(client::TOKEN_HEADER).and_then(|t| t.parse().ok()) {
+            self.token.merge(t);
         }
-        if r.code == 503 && r.body.windows(9).any(|w| w == b"\"emptied\"") {
+        if r.status == 503 && r.body.windows(9).any(|w| w == b"\"emptied\"") {
             // The platform sends clients of an emptied zone elsewhere for a while.
             self.asleep = self.env.now() + Duration::from_secs(5);
             self.leave();
@@ -196,7 +197,11 @@
         if r.close {
             self.leave();
         }
-        Reply { code: r.code, kept: r.header(caller::KEPT).unwrap_or("").into(), body: r.body.to_vec() }
+        Reply {
+            code: r.status,
+            kept: r.header(client::WRITE_OUTCOME_HEADER).unwrap_or("").into(),
+            body: r.body.to_vec(),
+        }
     }
 
     fn end(reply: &Option<Reply>) -> (End, u16) {
@@ -257,10 +262,10 @@
     }
 
     async fn trans(&mut self, meant: Duration) {
-        let (send, count) = (self.id(), 1 + self.env.below(12));
+        let (send, count) = (self.id(), 1 + self.env.rand_below(12));
         let start = self.env.now();
         let mut adds = Vec::new();
-        let leave = self.plan.leave > 0 && self.env.below(self.plan.leave) == 0;
+        let leave = self.plan.leave > 0 && self.env.rand_below(self.plan.leave) == 0;
         if !self.connect().await {
             return self.push(Kind::Write { send, adds }, End::Failed, meant, start, 0, "no node");
         }
--- a/kit/src/main.rs
+++ b/kit/src/main.rs
@@ -24,10 +24,10 @@
 #[compio::main]
 async fn main() {
     let args: Args = argh::from_env();
-    boot::log("info");
+    boot::set_log_level("info");
     match args.tool {
         Tool::Load(a) => {
-            let env = boot::world(None);
+            let env = boot::system_env(None);
             let node = |(i, t): (usize, &String)| {
                 let (area, addr) = t.split_once(',').unwrap_or_else(|| usage(format!("--node {t:?}: AREA,ADDRESS")));
                 let addr = addr.parse().unwrap_or_else(|_| usage(format!("--node {t:?}: no address")));
@@ -52,7 +52,7 @@
         }
         Tool::Server(a) => {
             let data = a.data.map(|d| d.display().to_string());
-            let env = boot::world(data.as_deref());
+            let env = boot::system_env(data.as_deref());
             let setup = Setup {
                 name: a.name,
                 area: a.area,
@@ -66,7 +66,7 @@
             };
             match Server::start(&env, setup).await {
                 Ok(_s) => boot::Signals::new().await.end().await,
-                Err(e) => boot::fail(&e.to_string()),
+                Err(e) => boot::exit_cannot_start(&e.to_string()),
             }
         }
         Tool::Sim(a) => sim(&a),
@@ -82,7 +82,7 @@
             let folder = a.folder.unwrap_or_else(|| std::env::temp_dir().join(below));
             let span = Duration::from_secs_f64(a.seconds);
             let run = fleet::Scale { nodes, groups: a.groups, sessions: a.sessions, span, folder, bins: own };
-            if let Err(e) = tool::scale::run(&boot::world(None), &run).await {
+            if let Err(e) = tool::scale::run(&boot::system_env(None), &run).await {
                 eprintln!("{e}");
                 exit(2);
             }
@@ -90,7 +90,7 @@
         Tool::Figures(a) => kit::sim::figures(a.only.as_deref()),
         Tool::Ops(a) => ops(&a).await,
         Tool::Platform(a) => {
-            let env = boot::world(None);
+            let env = boot::system_env(None);
             let known = |t: &String| {
                 let parts: Vec<&str> = t.split(',').collect();
                 let [name, group, addr] = parts[..] else { usage(format!("--server {t:?}: NAME,GROUP,ADDRESS")) };
@@ -99,11 +99,11 @@
             };
             match Platform::start(&env, a.addr, a.server.iter().map(known).collect()).await {
                 Ok(_p) => boot::Signals::new().await.end().await,
-                Err(e) => boot::fail(&e.to_string()),
+                Err(e) => boot::exit_cannot_start(&e.to_string()),
             }
         }
         Tool::Fleet(a) => {
-            let env = boot::world(None);
+            let env = boot::system_env(None);
             let steps = a.at.iter().map(|t| fleet::parse(t).unwrap_or_else(|e| usage(e))).collect();
             let own = std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
             let folder =
--- a/kit/src/platform.rs
+++ b/kit/src/platform.rs
@@ -3,10 +3,10 @@
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use base::{
-    edge::backend::{self, Naming},
-    http::{self, Ask, Client, Door, Return, Session},
-    seam::{Env, Local, Part},
-    tree::Tree,
+    edge::backend::{self, PromotionRequest},
+    http::{self, Client, Endpoint, HttpRequest, HttpResponse, RequestHandler},
+    runtime::{Component, Env, LocalFuture},
+    supervisor::Supervisor,
 };
 use nanoserde::SerJson;
 
@@ -24,16 +24,16 @@
 pub struct Platform {
     env: Env,
     known: Vec<Known>,
-    named: RefCell<BTreeMap<String, Naming>>,
+    named: RefCell<BTreeMap<String, PromotionRequest>>,
     /// Every naming that was accepted, with its time.
-    pub history: RefCell<Vec<(Duration, Naming)>>,
-    tree: RefCell<Option<Tree>>,
+    pub history: RefCell<Vec<(Duration, PromotionRequest)>>,
+    tree: RefCell<Option<Supervisor>>,
 }
 
 struct Desk(Rc<Platform>);
 
-impl Session for Desk {
-    fn call(&self, ask: Ask) -> Local<Return> {
+impl RequestHandler for Desk {
+    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let me = self.0.clone();
         Box::pin(async move { me.answer(&ask) })
     }
@@ -42,7 +42,7 @@
 impl Platform {
     /// Starts a platform at an address.
     pub async fn start(env: &Env, addr: SocketAddr, known: Vec<Known>) -> std::io::Result<Rc<Self>> {
-        let sock: http::Slot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
+        let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
         let me = Rc::new(Self {
             env: env.clone(),
             known,
@@ -50,39 +50,39 @@
             history: RefCell::default(),
             tree: RefCell::default(),
         });
-        let mut tree = Tree::new(env);
+        let mut tree = Supervisor::new(env);
         for k in &me.known {
             let (m, k) = (me.clone(), k.clone());
             tree.child("tell", move || m.clone().tell(k.clone()));
         }
-        let (m, e, door) = (me.clone(), env.clone(), Door::new(200, 1 << 16));
+        let (m, e, door) = (me.clone(), env.clone(), Endpoint::new(200, 1 << 16));
         tree.child("door", move || {
             let m = m.clone();
-            let make = Rc::new(move || Rc::new(Desk(m.clone())) as Rc<dyn Session>);
+            let make = Rc::new(move || Rc::new(Desk(m.clone())) as Rc<dyn RequestHandler>);
             http::serve(e.clone(), sock.clone(), door.clone(), make)
         });
         *me.tree.borrow_mut() = Some(tree);
         Ok(me)
     }
 
-    fn answer(&self, ask: &Ask) -> Return {
-        if ask.path != backend::LEAD {
-            return Return::new(404, "{}");
+    fn answer(&self, ask: &HttpRequest) -> HttpResponse {
+        if ask.path != backend::PROMOTION_PATH {
+            return HttpResponse::new(404, "{}");
         }
-        let Ok(n) = base::strict::read::<Naming>(&ask.body) else { return Return::new(400, "{}") };
+        let Ok(n) = base::strict::read::<PromotionRequest>(&ask.body) else { return HttpResponse::new(400, "{}") };
         if !self.known.iter().any(|k| k.name == n.server && k.group == n.group) {
-            return Return::new(404, "{}");
+            return HttpResponse::new(404, "{}");
         }
         let mut named = self.named.borrow_mut();
         if named.get(&n.group).is_some_and(|o| o.line > n.line || (o.line == n.line && o.server != n.server)) {
-            return Return::new(409, "{}");
+            return HttpResponse::new(409, "{}");
         }
         if named.get(&n.group) != Some(&n) {
-            self.env.log(Part::Kit, format!("{} is named leader of {} on line {}", n.server, n.group, n.line));
+            self.env.log(Component::Kit, format!("{} is named leader of {} on line {}", n.server, n.group, n.line));
             self.history.borrow_mut().push((self.env.now(), n.clone()));
             named.insert(n.group.clone(), n);
         }
-        Return::new(200, "{}")
+        HttpResponse::new(200, "{}")
     }
 
     /// Tells one server, over and over, whom it follows.
--- a/kit/src/server/follow.rs
+++ b/kit/src/server/follow.rs
@@ -24,7 +24,7 @@
                 self.env.sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let moved = self.bell.until(|| (self.leader.get() != Some(addr)).then_some(()));
+            let moved = self.bell.wait_until(|| (self.leader.get() != Some(addr)).then_some(()));
             let join = Client::connect(&self.env, addr, SPAN, 64 << 20);
             let Either::Left((Ok(mut line), _)) = select(pin!(join), pin!(moved)).await else {
                 self.env.sleep(Duration::from_millis(50)).await;
@@ -40,13 +40,13 @@
                     format!("/log?after={after}&of={of}&send={send}&line={}", self.line.get())
                 };
                 // A leader that changed is left at once, whatever the old one still owes.
-                let moved = self.bell.until(|| (self.leader.get() != Some(addr)).then_some(()));
+                let moved = self.bell.wait_until(|| (self.leader.get() != Some(addr)).then_some(()));
                 let call = line.call("GET", &path, &[], Bytes::new(), SPAN);
                 let Either::Left((Ok(out), _)) = select(pin!(call), pin!(moved)).await else { break };
                 if self.leader.get() != Some(addr) || self.leads.get() || self.stalled.get() {
                     break;
                 }
-                match out.code {
+                match out.status {
                     200 => {
                         let Ok(batch) = base::strict::read::<Batch>(&out.body) else { break };
                         if batch.line != self.line.get() || self.log.borrow().len() as u64 != after {
--- a/kit/src/server/mod.rs
+++ b/kit/src/server/mod.rs
@@ -14,11 +14,11 @@
 };
 
 use base::{
-    bell::Bell,
-    http::{self, Door, Session},
-    seam::{Env, Part},
-    tree::Tree,
-    words::Position,
+    http::{self, Endpoint, RequestHandler},
+    notify::Notify,
+    position::Position,
+    runtime::{Component, Env},
+    supervisor::Supervisor,
 };
 
 pub use serve::{Control, Rows, Statement, StatsRow, Trouble};
@@ -75,7 +75,7 @@
     pub(crate) born: Cell<u64>,
     pub(crate) leader: Cell<Option<SocketAddr>>,
     pub(crate) file_at: Cell<u64>,
-    pub(crate) bell: Bell,
+    pub(crate) bell: Notify,
     pub(crate) started: Duration,
     pub draining: Cell<bool>,
     /// So many statements are run but never answered.
@@ -91,13 +91,13 @@
     pub stats: RefCell<Stats>,
     /// When draining was first told to a node and taken.
     pub drain_told: Cell<Option<Duration>>,
-    pub(crate) tree: RefCell<Option<Tree>>,
+    pub(crate) tree: RefCell<Option<Supervisor>>,
 }
 
 impl Server {
     /// Starts a server with what its data folder holds.
     pub async fn start(env: &Env, setup: Setup) -> std::io::Result<Rc<Self>> {
-        let sock: http::Slot = Rc::new(RefCell::new(Some(env.listen(setup.addr).await?)));
+        let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(setup.addr).await?)));
         let me = Rc::new(Self {
             env: env.clone(),
             setup,
@@ -109,7 +109,7 @@
             born: Cell::new(env.rand() >> 11 | 1),
             leader: Cell::new(None),
             file_at: Cell::new(0),
-            bell: Bell::default(),
+            bell: Notify::default(),
             started: env.now(),
             draining: Cell::new(false),
             mute: Cell::new(0),
@@ -123,7 +123,7 @@
             tree: RefCell::default(),
         });
         me.recall().await?;
-        let mut tree = Tree::new(env);
+        let mut tree = Supervisor::new(env);
         let s = me.clone();
         tree.child("flush", move || s.clone().flush());
         let s = me.clone();
@@ -131,14 +131,14 @@
         let s = me.clone();
         tree.child("report", move || s.clone().reports());
         let (s, e) = (me.clone(), env.clone());
-        let door = Door::new(1000, 1 << 20);
+        let door = Endpoint::new(1000, 1 << 20);
         tree.child("door", move || {
             let s = s.clone();
-            let make = Rc::new(move || Rc::new(serve::Line::new(&s)) as Rc<dyn Session>);
+            let make = Rc::new(move || Rc::new(serve::Line::new(&s)) as Rc<dyn RequestHandler>);
             http::serve(e.clone(), sock.clone(), door.clone(), make)
         });
         *me.tree.borrow_mut() = Some(tree);
-        env.log(Part::Kit, format!("server {} at {}", me.setup.name, me.setup.addr));
+        env.log(Component::Kit, format!("server {} at {}", me.setup.name, me.setup.addr));
         Ok(me)
     }
 
@@ -149,7 +149,7 @@
             0 => 0,
             i => self.log.borrow().get(i as usize - 1).map_or(0, |e| e.line),
         };
-        Position { line, index }
+        Position { epoch: line, index }
     }
 
     /// From 0, warm, to 1, stone cold.
--- a/kit/src/server/report.rs
+++ b/kit/src/server/report.rs
@@ -1,6 +1,6 @@
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
-use base::{edge::backend::Report, http::Client};
+use base::{edge::backend::ServerReport, http::Client};
 use nanoserde::SerJson;
 
 use super::Server;
@@ -9,7 +9,7 @@
     /// Reports every half second to a node, to the next one when that fails.
     pub(super) async fn reports(self: Rc<Self>) -> Result<(), Infallible> {
         let nodes = self.setup.nodes.clone();
-        let mut at = self.env.below(nodes.len() as u64) as usize;
+        let mut at = self.env.rand_below(nodes.len() as u64) as usize;
         loop {
             if nodes.is_empty() {
                 self.env.sleep(Duration::from_secs(3600)).await;
@@ -17,7 +17,7 @@
             }
             let place = self.place();
             let draining = self.draining.get();
-            let body = Report {
+            let body = ServerReport {
                 server: self.setup.name.clone(),
                 area: self.setup.area.clone(),
                 addr: self.setup.addr.to_string(),
@@ -35,7 +35,7 @@
             let text = body.serialize_json().into();
             let out = Client::once(&self.env, nodes[at], "POST", "/report", &[], text, span).await;
             match out {
-                Ok(o) if o.code == 200 => {
+                Ok(o) if o.status == 200 => {
                     if draining && self.drain_told.get().is_none() {
                         self.drain_told.set(Some(self.env.now()));
                     }
--- a/kit/src/server/serve.rs
+++ b/kit/src/server/serve.rs
@@ -6,11 +6,11 @@
 };
 
 use base::{
-    edge::{backend, caller},
-    http::{Ask, Return, Session},
-    seam::Local,
+    edge::{backend, client},
+    http::{HttpRequest, HttpResponse, RequestHandler},
+    position::Position,
+    runtime::LocalFuture,
     strict,
-    words::Position,
 };
 use nanoserde::SerJson;
 
@@ -117,8 +117,8 @@
     }
 }
 
-impl Session for Line {
-    fn call(&self, ask: Ask) -> Local<Return> {
+impl RequestHandler for Line {
+    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let (server, own) = (self.server.clone(), self.own.clone());
         Box::pin(async move { server.answer(&own, ask).await })
     }
@@ -133,16 +133,16 @@
     part(path, name).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn text(code: u16, t: String) -> Return {
-    Return::new(code, t).with("content-type", "application/json")
+fn text(code: u16, t: String) -> HttpResponse {
+    HttpResponse::new(code, t).with_header("content-type", "application/json")
 }
 
-fn untaken(code: u16, why: &str) -> Return {
-    text(code, format!("{{\"why\":\"{why}\"}}")).with(backend::TAKEN, "no")
+fn untaken(code: u16, why: &str) -> HttpResponse {
+    text(code, format!("{{\"why\":\"{why}\"}}")).with_header(backend::EXECUTED_HEADER, "no")
 }
 
 impl Server {
-    async fn answer(self: &Rc<Self>, own: &Rc<Own>, ask: Ask) -> Return {
+    async fn answer(self: &Rc<Self>, own: &Rc<Own>, ask: HttpRequest) -> HttpResponse {
         let path = ask.path.split('?').next().unwrap_or("").to_string();
         match path.as_str() {
             "/log" => return self.on_log(&ask.path).await,
@@ -165,23 +165,26 @@
             let mut st = self.stats.borrow_mut();
             st.most_open = st.most_open.max(open as u64);
         }
-        let out =
-            if path == backend::PLACE { self.on_place(&ask.path).await } else { self.work(own, &path, &ask).await };
+        let out = if path == backend::POSITION_PATH {
+            self.on_place(&ask.path).await
+        } else {
+            self.work(own, &path, &ask).await
+        };
         let Some(out) = out else { return futures::future::pending().await };
-        out.with(backend::POSITION, self.place())
-            .with(backend::LOG, self.born.get())
-            .with(backend::LEADS, u8::from(self.leads.get()))
-            .with(backend::DRAINING, u8::from(self.draining.get()))
+        out.with_header(backend::POSITION_HEADER, self.place())
+            .with_header(backend::LOG_ID_HEADER, self.born.get())
+            .with_header(backend::IS_PRIMARY_HEADER, u8::from(self.leads.get()))
+            .with_header(backend::DRAINING_HEADER, u8::from(self.draining.get()))
     }
 
-    async fn on_place(&self, path: &str) -> Option<Return> {
+    async fn on_place(&self, path: &str) -> Option<HttpResponse> {
         let reach: Position = part(path, "reach").and_then(|p| p.parse().ok()).unwrap_or_default();
-        let wait = self.bell.until(|| (self.place() >= reach).then_some(()));
-        let _ = self.env.within(Duration::from_millis(100), wait).await;
+        let wait = self.bell.wait_until(|| (self.place() >= reach).then_some(()));
+        let _ = self.env.timeout(Duration::from_millis(100), wait).await;
         Some(text(200, "{}".into()))
     }
 
-    async fn work(self: &Rc<Self>, own: &Rc<Own>, path: &str, ask: &Ask) -> Option<Return> {
+    async fn work(self: &Rc<Self>, own: &Rc<Own>, path: &str, ask: &HttpRequest) -> Option<HttpResponse> {
         let most = (self.setup.cap as f64 * (1.0 - self.cold())).ceil() as usize + 12;
         {
             let mut st = self.stats.borrow_mut();
@@ -190,7 +193,7 @@
             if self.busy.get() > most {
                 st.flooded += 1;
             }
-            if self.late() && !matches!(path, "/rollback" | backend::RESET) {
+            if self.late() && !matches!(path, "/rollback" | backend::RESET_PATH) {
                 st.late += 1;
             }
         }
@@ -198,11 +201,11 @@
         self.env.sleep(self.setup.work).await;
         let out = self.run(own, path, ask).await;
         drop(busy);
-        if self.late.get() > 0 && path != backend::RESET {
+        if self.late.get() > 0 && path != backend::RESET_PATH {
             self.late.set(self.late.get() - 1);
             self.env.sleep(Duration::from_millis(4300)).await;
         }
-        if self.mute.get() > 0 && path != backend::RESET {
+        if self.mute.get() > 0 && path != backend::RESET_PATH {
             self.mute.set(self.mute.get() - 1);
             return None;
         }
@@ -218,16 +221,16 @@
         closed || drained
     }
 
-    async fn run(self: &Rc<Self>, own: &Rc<Own>, path: &str, ask: &Ask) -> Return {
-        if path == backend::RESET {
+    async fn run(self: &Rc<Self>, own: &Rc<Own>, path: &str, ask: &HttpRequest) -> HttpResponse {
+        if path == backend::RESET_PATH {
             own.trans.borrow_mut().take();
             own.values.borrow_mut().clear();
             own.names.borrow_mut().clear();
             own.who.borrow_mut().clear();
             return text(200, "{}".into());
         }
-        let send = ask.header(caller::SEND).unwrap_or("").to_string();
-        let line: Option<u64> = ask.header(backend::LINE).and_then(|l| l.parse().ok());
+        let send = ask.header(client::ATTEMPT_ID_HEADER).unwrap_or("").to_string();
+        let line: Option<u64> = ask.header(backend::EPOCH_HEADER).and_then(|l| l.parse().ok());
         let mine = self.leads.get() && line.is_none_or(|l| l == self.line.get());
         match path {
             "/rollback" => {
@@ -290,7 +293,7 @@
         }
     }
 
-    fn rows(&self, own: &Own, key: &str) -> Return {
+    fn rows(&self, own: &Own, key: &str) -> HttpResponse {
         let mut vals = self.state.borrow().get(key).cloned().unwrap_or_default();
         if let Some(ops) = &*own.trans.borrow() {
             vals.extend(ops.iter().filter(|o| o.key == key).map(|o| o.val.clone()));
@@ -298,7 +301,7 @@
         text(200, Rows { key: key.into(), vals }.serialize_json())
     }
 
-    async fn commit(&self, send: String, ops: Vec<Op>) -> Return {
+    async fn commit(&self, send: String, ops: Vec<Op>) -> HttpResponse {
         if !self.leads.get() {
             return untaken(421, "not leading");
         }
@@ -310,7 +313,7 @@
         text(200, format!("{{\"index\":{index}}}"))
     }
 
-    async fn on_log(&self, path: &str) -> Return {
+    async fn on_log(&self, path: &str) -> HttpResponse {
         let (after, of, line) = (number(path, "after"), number(path, "of"), number(path, "line"));
         let send = part(path, "send").unwrap_or("");
         if !self.leads.get() || self.line.get() != line {
@@ -328,8 +331,8 @@
             }
         }
         // Only what is on this disk is handed out: a leader that restarts must not have less than its followers.
-        let more = self.bell.until(|| (self.durable.get() > after).then_some(()));
-        let _ = self.env.within(Duration::from_millis(200), more).await;
+        let more = self.bell.wait_until(|| (self.durable.get() > after).then_some(()));
+        let _ = self.env.timeout(Duration::from_millis(200), more).await;
         if self.line.get() != line || !self.leads.get() {
             return text(421, "{}".into());
         }
@@ -338,7 +341,7 @@
         text(200, Batch { line, entries }.serialize_json())
     }
 
-    fn on_control(&self, body: &[u8]) -> Return {
+    fn on_control(&self, body: &[u8]) -> HttpResponse {
         let Ok(c) = base::strict::read::<Control>(body) else { return text(400, "{}".into()) };
         if c.line < self.line.get() {
             return text(409, "{}".into());
@@ -358,12 +361,12 @@
         } else if !c.leads {
             self.leads.set(false);
             self.leader.set(c.addr.parse().ok());
-            self.bell.ring();
+            self.bell.notify_waiters();
         }
         text(200, "{}".into())
     }
 
-    fn on_trouble(&self, body: &[u8]) -> Return {
+    fn on_trouble(&self, body: &[u8]) -> HttpResponse {
         let Ok(t) = base::strict::read::<Trouble>(body) else { return text(400, "{}".into()) };
         if let Some(d) = t.draining {
             self.draining.set(d);
@@ -377,7 +380,7 @@
         text(200, "{}".into())
     }
 
-    fn on_stats(&self) -> Return {
+    fn on_stats(&self) -> HttpResponse {
         let s = self.stats.borrow();
         let row = StatsRow {
             statements: s.statements,
--- a/kit/src/server/store.rs
+++ b/kit/src/server/store.rs
@@ -81,7 +81,7 @@
             }
         }
         self.log.borrow_mut().push(e);
-        self.bell.ring();
+        self.bell.notify_waiters();
         self.log.borrow().len() as u64
     }
 
@@ -90,19 +90,19 @@
         self.log.borrow_mut().truncate(keep as usize);
         self.durable.set(self.durable.get().min(keep));
         self.rebuild();
-        self.bell.ring();
+        self.bell.notify_waiters();
     }
 
     /// Writes new entries to the data file, many at once.
     pub(super) async fn flush(self: Rc<Self>) -> Result<(), Infallible> {
         let mut role = (self.leads.get(), self.line.get(), self.file_at.get() > 0);
         loop {
-            let seen = self.bell.count();
+            let seen = self.bell.generation();
             let from = self.durable.get();
             let now = (self.leads.get(), self.line.get(), true);
             let rows: Vec<Entry> = self.log.borrow()[from as usize..].to_vec();
             if rows.is_empty() && role == now {
-                self.bell.after(seen).await;
+                self.bell.changed_since(seen).await;
                 continue;
             }
             let mut text = String::new();
@@ -125,7 +125,7 @@
             if let Some(disk) = self.env.disk()
                 && let Err(e) = disk.append(FILE, self.file_at.get(), text.into_bytes()).await
             {
-                self.env.die(&format!("server {}: {e}", self.setup.name));
+                self.env.abort_process(&format!("server {}: {e}", self.setup.name));
                 futures::future::pending::<()>().await;
             }
             self.file_at.set(self.file_at.get() + size);
@@ -138,14 +138,14 @@
             if self.durable.get() == from {
                 self.durable.set(from + same as u64);
             }
-            self.bell.ring();
+            self.bell.notify_waiters();
         }
     }
 
     /// Waits until an entry is on disk; false when it was cut off.
     pub(super) async fn synced(&self, index: u64, line: u64) -> bool {
         self.bell
-            .until(|| {
+            .wait_until(|| {
                 let log = self.log.borrow();
                 let there = log.get(index as usize - 1).is_some_and(|e| e.line == line);
                 if !there {
--- a/kit/src/sim/core.rs
+++ b/kit/src/sim/core.rs
@@ -11,8 +11,8 @@
 };
 
 use base::{
-    seam::{Env, Part},
-    words::step,
+    position::next_random,
+    runtime::{Component, Env},
 };
 
 use super::{disk::Files, net::Net, world::Place};
@@ -24,7 +24,7 @@
 pub struct Line {
     pub at: Duration,
     pub who: String,
-    pub part: Part,
+    pub part: Component,
     pub text: String,
 }
 
@@ -148,7 +148,7 @@
 
     /// A random number from the seed.
     pub fn rand(&self) -> u64 {
-        step(&self.seed)
+        next_random(&self.seed)
     }
 
     /// A random number below `top`.
@@ -365,12 +365,12 @@
 
     pub(super) fn note(&self, host: usize, text: &str) {
         let who = self.hosts.borrow()[host].name.clone();
-        self.lines.borrow_mut().push(Line { at: self.now(), who, part: Part::Kit, text: text.into() });
+        self.lines.borrow_mut().push(Line { at: self.now(), who, part: Component::Kit, text: text.into() });
     }
 
     /// Adds a line of the simulation's own.
     pub fn say(&self, text: &str) {
-        self.lines.borrow_mut().push(Line { at: self.now(), who: "-".into(), part: Part::Kit, text: text.into() });
+        self.lines.borrow_mut().push(Line { at: self.now(), who: "-".into(), part: Component::Kit, text: text.into() });
     }
 
     /// All log lines so far.
--- a/kit/src/sim/disk.rs
+++ b/kit/src/sim/disk.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use base::seam::{Disk, Local};
+use base::runtime::{Disk, LocalFuture};
 
 use super::{core::Sim, world::rest};
 
@@ -88,7 +88,7 @@
 }
 
 impl Drive {
-    fn start(&self, name: &str, at: Option<u64>, data: Vec<u8>) -> Local<io::Result<()>> {
+    fn start(&self, name: &str, at: Option<u64>, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         let (sim, files, name) = (self.sim.clone(), self.files.clone(), name.to_string());
         Box::pin(async move {
             if files.full.get() {
@@ -107,16 +107,16 @@
 }
 
 impl Disk for Drive {
-    fn read(&self, name: &str) -> Local<io::Result<Option<Vec<u8>>>> {
+    fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>> {
         let out = self.files.map.borrow().get(name).cloned();
         Box::pin(async move { Ok(out) })
     }
 
-    fn write(&self, name: &str, data: Vec<u8>) -> Local<io::Result<()>> {
+    fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         self.start(name, None, data)
     }
 
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> Local<io::Result<()>> {
+    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         self.start(name, Some(at), data)
     }
 }
--- a/kit/src/sim/hall.rs
+++ b/kit/src/sim/hall.rs
@@ -175,22 +175,22 @@
                 let place = given.set.check().expect("settings");
                 let node = match hub::PlatformHub::start(&env, &given, &place, build.hub).await {
                     Ok(g) => g,
-                    Err(e) => return env.die(&e.to_string()),
+                    Err(e) => return env.abort_process(&e.to_string()),
                 };
                 asked(&env).await;
                 node.leave().await;
-                env.die("ended as asked");
+                env.abort_process("ended as asked");
             }),
             What::Spoke { text } => Box::pin(async move {
                 let given = platform::read(&text, false).expect("settings");
                 let place = given.set.check().expect("settings");
                 let node = match spoke::PlatformSpoke::start(&env, &given, &place, build.spoke).await {
                     Ok(g) => g,
-                    Err(e) => return env.die(&e.to_string()),
+                    Err(e) => return env.abort_process(&e.to_string()),
                 };
                 asked(&env).await;
                 node.leave().await;
-                env.die("ended as asked");
+                env.abort_process("ended as asked");
             }),
         };
         self.sim.spawn(host, boot, task);
--- a/kit/src/sim/net.rs
+++ b/kit/src/sim/net.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use base::seam::{Listener, Local, Stream};
+use base::runtime::{Listener, LocalFuture, Stream};
 use hyper::rt::{Read, ReadBufCursor, Write};
 
 use super::{
@@ -283,7 +283,7 @@
 }
 
 impl Listener for Door {
-    fn accept(&self) -> Local<io::Result<Box<dyn Stream>>> {
+    fn accept(&self) -> LocalFuture<io::Result<Box<dyn Stream>>> {
         let b = self.0.clone();
         Box::pin(std::future::poll_fn(move |cx| match b.queue.borrow_mut().pop_front() {
             Some(s) => Poll::Ready(Ok(s)),
--- a/kit/src/sim/operators.rs
+++ b/kit/src/sim/operators.rs
@@ -79,7 +79,7 @@
     }
 
     fn any_node(&self) -> SocketAddr {
-        self.nodes[self.env.below(self.nodes.len() as u64) as usize]
+        self.nodes[self.env.rand_below(self.nodes.len() as u64) as usize]
     }
 
     async fn work(&self, who: usize, until: Duration) {
@@ -93,18 +93,18 @@
                 old.push(sent);
             }
             // A late copy of an order whose fate was told long ago.
-            if self.env.below(3) == 0 && !old.is_empty() {
-                let again = &old[self.env.below(old.len() as u64) as usize];
+            if self.env.rand_below(3) == 0 && !old.is_empty() {
+                let again = &old[self.env.rand_below(old.len() as u64) as usize];
                 self.send(again, PATIENCE).await;
             }
-            self.env.sleep(Duration::from_millis(self.env.below(200))).await;
+            self.env.sleep(Duration::from_millis(self.env.rand_below(200))).await;
         }
     }
 
     /// An order on top of what was read back. Operators often choose the same number.
     fn make(&self, read: &Read, mark: &str) -> Sent {
-        let number = read.number + 1 + self.env.below(2);
-        let whole = self.env.below(2) == 0;
+        let number = read.number + 1 + self.env.rand_below(2);
+        let whole = self.env.rand_below(2) == 0;
         let make = if whole { Order::whole } else { Order::patch };
         let order = make(&self.plans, read.number, number, mark);
         (order, check_orders::Order { mark: mark.into(), after: read.number, number })
@@ -114,7 +114,8 @@
     async fn insist(&self, sent: &Sent) {
         let mut pause = Duration::from_millis(50);
         for _ in 0..TRIES {
-            let span = if self.env.below(3) == 0 { Duration::from_millis(self.env.below(60)) } else { PATIENCE };
+            let span =
+                if self.env.rand_below(3) == 0 { Duration::from_millis(self.env.rand_below(60)) } else { PATIENCE };
             if self.send(sent, span).await != Heard::Nothing {
                 return;
             }
--- a/kit/src/sim/timeline.rs
+++ b/kit/src/sim/timeline.rs
@@ -127,9 +127,9 @@
     let path = format!("/ops/areas/{area}/{}", if empty { "empty" } else { "take-back" });
     let done = town.at_desk(Duration::from_secs(10), async move {
         loop {
-            let at = env.below(layout.spokes.len() as u64) as usize;
+            let at = env.rand_below(layout.spokes.len() as u64) as usize;
             let out = crate::fleet::ask(&env, layout.spokes[at].http, "POST", &path, "").await;
-            if out.is_some_and(|r| r.code == 200) {
+            if out.is_some_and(|r| r.status == 200) {
                 if empty {
                     words.emptied(&name, env.now(), Duration::from_secs(5));
                 }
--- a/kit/src/sim/town/desk.rs
+++ b/kit/src/sim/town/desk.rs
@@ -37,9 +37,9 @@
         let (env, layout, text) = (self.desk(), self.layout.clone(), text.to_string());
         self.sim.say(&format!("operator: change {text}"));
         self.spawn_at_desk(async move {
-            let at = layout.spokes[env.below(layout.spokes.len() as u64) as usize].http;
+            let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
             let Some(out) = crate::fleet::ask(&env, at, "GET", "/ops/doorways", "").await else { return };
-            let Ok(set) = base::strict::read::<base::edge::operator::Readback>(&out.body) else { return };
+            let Ok(set) = base::strict::read::<base::edge::operator::ConfigurationView>(&out.body) else { return };
             let body = format!("{{\"after\":{},{text}}}", set.sequence);
             let _ = crate::fleet::ask(&env, at, "PATCH", "/ops/doorways", &body).await;
         });
@@ -52,9 +52,9 @@
         self.sim.say(&format!("operator: empties {area} for a while"));
         self.spawn_at_desk(async move {
             let say = async |word: &str| {
-                let at = layout.spokes[env.below(layout.spokes.len() as u64) as usize].http;
+                let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
                 let path = format!("/ops/areas/{area}/{word}");
-                crate::fleet::ask(&env, at, "POST", &path, "").await.is_some_and(|r| r.code == 200)
+                crate::fleet::ask(&env, at, "POST", &path, "").await.is_some_and(|r| r.status == 200)
             };
             if say("empty").await {
                 words.emptied(&area, env.now(), Duration::from_secs(5));
@@ -163,7 +163,7 @@
         let (env, layout, server) = (self.desk(), self.layout.clone(), server.to_string());
         self.sim.say(&format!("operator: wishes {server} to lead"));
         self.spawn_at_desk(async move {
-            let at = env.below(layout.spokes.len() as u64) as usize;
+            let at = env.rand_below(layout.spokes.len() as u64) as usize;
             let body = format!("{{\"server\":\"{server}\"}}");
             let _ = crate::fleet::ask(&env, layout.spokes[at].http, "POST", "/ops/handover", &body).await;
         });
--- a/kit/src/sim/town/faults.rs
+++ b/kit/src/sim/town/faults.rs
@@ -27,7 +27,7 @@
     pub fn leave(&self, name: &str) {
         let told = self.procs.borrow()[name].told.clone();
         told.leave.set(true);
-        told.bell.ring();
+        told.bell.notify_waiters();
         let up = self.booted.borrow().get(name).copied().unwrap_or_default();
         self.leaves.borrow_mut().push((name.into(), up, self.sim.now()));
         self.sim.note(self.host(name), "is asked to end");
@@ -43,7 +43,7 @@
         *self.policy.borrow_mut() = policy.clone();
         for p in self.procs.borrow().values().filter(|p| matches!(p.what, What::Spoke(_))) {
             *p.told.policy.borrow_mut() = Some(policy.clone());
-            p.told.bell.ring();
+            p.told.bell.notify_waiters();
         }
     }
 
--- a/kit/src/sim/town/launch.rs
+++ b/kit/src/sim/town/launch.rs
@@ -2,7 +2,7 @@
 
 use base::{
     Env,
-    settings::{self, Place},
+    settings::{self, NodeConfig},
 };
 
 use super::{Town, What};
@@ -12,7 +12,7 @@
 };
 
 /// The checked place of a settings text of the layout's own.
-fn place(text: &str) -> Place {
+fn place(text: &str) -> NodeConfig {
     settings::read(text.as_bytes()).map(|s| s.check()).expect("settings").expect("settings")
 }
 
@@ -21,7 +21,7 @@
     match out {
         Ok(t) => t,
         Err(e) => {
-            env.die(&e.to_string());
+            env.abort_process(&e.to_string());
             std::future::pending().await
         }
     }
@@ -89,11 +89,11 @@
                     boot,
                     Box::pin(async move {
                         let hub = or_die(&e, hub::run(&e, &place, tricks.hub).await).await;
-                        told.bell.until(|| told.leave.get().then_some(())).await;
+                        told.bell.wait_until(|| told.leave.get().then_some(())).await;
                         hub.leave().await;
-                        e.sleep(place.bounds.pulse()).await;
+                        e.sleep(place.bounds.control_heartbeat()).await;
                         ended.borrow_mut().push((m.name.clone(), sim.now()));
-                        e.die("ended as asked");
+                        e.abort_process("ended as asked");
                         std::future::pending::<()>().await;
                     }),
                 );
@@ -109,18 +109,18 @@
                     Box::pin(async move {
                         let spoke = or_die(&e, spoke::run(&e, &place, tricks.spoke).await).await;
                         loop {
-                            let seen = told.bell.count();
+                            let seen = told.bell.generation();
                             if told.leave.get() {
                                 break;
                             }
                             if let Some(p) = told.policy.borrow_mut().take() {
                                 spoke.policy(&p);
                             }
-                            told.bell.after(seen).await;
+                            told.bell.changed_since(seen).await;
                         }
                         spoke.leave().await;
                         ended.borrow_mut().push((m.name.clone(), sim.now()));
-                        e.die("ended as asked");
+                        e.abort_process("ended as asked");
                         std::future::pending::<()>().await;
                     }),
                 );
--- a/kit/src/sim/town/mod.rs
+++ b/kit/src/sim/town/mod.rs
@@ -16,7 +16,7 @@
     time::Duration,
 };
 
-use base::{bell::Bell, settings::PolicySettings};
+use base::{notify::Notify, settings::PolicySettings};
 
 use super::core::Sim;
 use crate::{
@@ -51,7 +51,7 @@
 struct Told {
     leave: Cell<bool>,
     policy: RefCell<Option<PolicySettings>>,
-    bell: Bell,
+    bell: Notify,
 }
 
 #[derive(Clone)]
@@ -170,6 +170,6 @@
     /// A number below `top` for choosing faults; no process draws from the same dice, so that a change of the product
     /// leaves the choice as it was.
     pub fn roll(&self, top: u64) -> u64 {
-        base::words::step(&self.dice) % top.max(1)
+        base::position::next_random(&self.dice) % top.max(1)
     }
 }
--- a/kit/src/sim/world.rs
+++ b/kit/src/sim/world.rs
@@ -1,6 +1,6 @@
 use std::{cell::RefCell, future::poll_fn, io, net::SocketAddr, rc::Rc, task::Poll, time::Duration};
 
-use base::seam::{Disk, Listener, Local, Part, Stream, World};
+use base::runtime::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
 use super::{
     core::{Due, Line, Sim, scale},
@@ -36,19 +36,19 @@
     .await
 }
 
-impl World for Place {
+impl Runtime for Place {
     fn now(&self) -> Duration {
         self.sim.hosts.borrow()[self.host].local(self.sim.now())
     }
 
-    fn sleep(&self, span: Duration) -> Local<()> {
+    fn sleep(&self, span: Duration) -> LocalFuture<()> {
         let sim = self.sim.clone();
         let span = scale(span, 1_000_000, self.rate());
         // Rounded up, so that a clock that runs slow has reached the end when it wakes.
         Box::pin(async move { rest(&sim, span + Duration::from_nanos(2)).await })
     }
 
-    fn spawn(&self, task: Local<()>) {
+    fn spawn(&self, task: LocalFuture<()>) {
         self.sim.spawn(self.host, self.boot, task);
     }
 
@@ -56,12 +56,12 @@
         self.sim.rand()
     }
 
-    fn listen(&self, addr: SocketAddr) -> Local<io::Result<Rc<dyn Listener>>> {
+    fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>> {
         let (sim, host, boot) = (self.sim.clone(), self.host, self.boot);
         Box::pin(async move { sim.net.listen(host, boot, addr) })
     }
 
-    fn connect(&self, addr: SocketAddr) -> Local<io::Result<Box<dyn Stream>>> {
+    fn connect(&self, addr: SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>> {
         let (sim, host) = (self.sim.clone(), self.host);
         Box::pin(async move { sim.net.connect(&sim, host, addr).await })
     }
@@ -70,13 +70,13 @@
         Some(Rc::new(Drive { sim: self.sim.clone(), files: self.sim.files(self.host) }))
     }
 
-    fn log(&self, part: Part, text: &str) {
+    fn log(&self, part: Component, text: &str) {
         let who = self.sim.hosts.borrow()[self.host].name.clone();
         self.sim.lines.borrow_mut().push(Line { at: self.sim.now(), who, part, text: text.into() });
     }
 
-    fn die(&self, text: &str) {
-        self.log(Part::Main, text);
+    fn abort_process(&self, text: &str) {
+        self.log(Component::Main, text);
         let (host, boot) = (self.host, self.boot);
         self.sim.later(Duration::ZERO, move |sim| {
             if sim.hosts.borrow()[host].boot == boot {
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -16,7 +16,7 @@
     time::Duration,
 };
 
-use base::{Env, boot::Signals, seam::Job};
+use base::{Env, boot::Signals, runtime::TaskGuard};
 use futures::{
     channel::mpsc,
     future::{Either, select},
@@ -120,7 +120,7 @@
     servers: Vec<String>,
     plans: Vec<Plan>,
     _network: Network,
-    _jobs: Vec<Job>,
+    _jobs: Vec<TaskGuard>,
 }
 
 fn address(ip: &str, port: u16) -> SocketAddr {
@@ -345,7 +345,7 @@
     let end = start + soak.span + CALM;
     let databases = fleet.plans.iter().map(|p| p.name.clone()).collect();
     let callers = Callers::new(env, fleet.access.clone(), databases, end);
-    let mut jobs: Vec<Job> =
+    let mut jobs: Vec<TaskGuard> =
         (0..soak.callers as u64).map(|n| env.spawn(callers.clone().run(soak.seed << 20 | n))).collect();
     let ledger = Rc::new(Ledger::default());
     for plan in &fleet.plans {
--- a/kit/src/tool/ops.rs
+++ b/kit/src/tool/ops.rs
@@ -17,7 +17,7 @@
         "empty" | "take-back" => ("POST", format!("/ops/areas/{}/{word}", need()), none),
         "hand-over" => {
             use nanoserde::SerJson;
-            let body = base::edge::operator::Handover { server: need().into() }.serialize_json();
+            let body = base::edge::operator::HandoverRequest { server: need().into() }.serialize_json();
             ("POST", "/ops/handover".into(), body)
         }
         "members" | "servers" | "leads" | "grants" => ("GET", format!("/ops/{word}"), none),
@@ -29,10 +29,10 @@
 
 /// Speaks to a node as an operator does.
 pub async fn ops(a: &OpsArgs) {
-    let told = |out: base::http::Return| {
+    let told = |out: base::http::HttpResponse| {
         println!("{}", String::from_utf8_lossy(&out.body));
-        if out.code >= 300 {
-            eprintln!("{}", out.code);
+        if out.status >= 300 {
+            eprintln!("{}", out.status);
             exit(1);
         }
     };
@@ -44,7 +44,7 @@
             None if join => usage(format!("join {of:?}: GROUP/SERVER")),
             None => ("", of),
         };
-        match fleet::member(&boot::world(None), a.node, group, server, join).await {
+        match fleet::member(&boot::system_env(None), a.node, group, server, join).await {
             Ok(out) => return told(out),
             Err(e) => {
                 eprintln!("{e}");
@@ -53,7 +53,7 @@
         }
     }
     let (method, path, body) = request(&a.word, a.of.as_deref());
-    let env = boot::world(None);
+    let env = boot::system_env(None);
     let span = Duration::from_secs(5);
     match base::http::Client::once(&env, a.node, method, &path, &[], body.into(), span).await {
         Ok(out) => told(out),
--- a/kit/src/tool/soak.rs
+++ b/kit/src/tool/soak.rs
@@ -32,7 +32,7 @@
         folder: folder.clone(),
         bins: own,
     };
-    let report = match soak::run(&boot::world(None), &run, |line| println!("{line}")).await {
+    let report = match soak::run(&boot::system_env(None), &run, |line| println!("{line}")).await {
         Ok(report) => report,
         Err(text) => {
             eprintln!("{text}; logs are below {}", folder.display());
--- a/kit/tests/answers.rs
+++ b/kit/tests/answers.rs
@@ -3,8 +3,8 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use base::{
-    edge::caller,
-    http::{Client, Return},
+    edge::client,
+    http::{Client, HttpResponse},
 };
 use bytes::Bytes;
 use kit::sim::{Build, Town, act};
@@ -14,7 +14,7 @@
 }
 
 /// Says each line over one connection to the first node; the answers, in order.
-fn say(town: &Rc<Town>, lines: &[(&'static str, &'static str, Vec<u8>)]) -> Vec<Return> {
+fn say(town: &Rc<Town>, lines: &[(&'static str, &'static str, Vec<u8>)]) -> Vec<HttpResponse> {
     let (env, addr) = (town.desk(), town.layout.spokes[0].http);
     let lines = lines.to_vec();
     let out = town.at_desk(secs(60), async move {
@@ -25,7 +25,7 @@
                 env.sleep(secs(11)).await;
                 continue;
             }
-            if !line.open() {
+            if !line.is_open() {
                 line = Client::connect(&env, addr, secs(1), 1 << 24).await.unwrap();
             }
             out.push(line.call(method, path, &[], Bytes::from(body), secs(8)).await.unwrap());
@@ -35,11 +35,11 @@
     out.expect("answers")
 }
 
-fn name(r: &Return) -> String {
+fn name(r: &HttpResponse) -> String {
     let text = String::from_utf8_lossy(&r.body).into_owned();
     match text.strip_prefix("{\"error\":\"") {
-        Some(rest) => format!("{} {}", r.code, rest.split('"').next().unwrap()),
-        None => r.code.to_string(),
+        Some(rest) => format!("{} {}", r.status, rest.split('"').next().unwrap()),
+        None => r.status.to_string(),
     }
 }
 
@@ -106,7 +106,7 @@
     let out = say(&town, &lines);
     let names: Vec<String> = out.iter().map(name).collect();
     assert_eq!(names, ["200", "200", "503 lost", "200", "409 order"]);
-    assert_eq!(out[2].header(caller::KEPT), Some("no"));
+    assert_eq!(out[2].header(client::WRITE_OUTCOME_HEADER), Some("no"));
     let leader = town.leader("g1").unwrap();
     let entries = town.servers.borrow()[&leader].entries();
     let keys: Vec<String> = entries.iter().flat_map(|e| e.ops.iter().map(|o| o.key.clone())).collect();
@@ -123,7 +123,7 @@
         let took = Rc::new(RefCell::new(town.sim.now()));
         let out = say(&town, &[("POST", "/db/pay/write", add("k"))]);
         assert_eq!(name(&out[0]), want);
-        assert!(out[0].header("retry-after").is_some() && out[0].header(caller::KEPT) == Some("no"));
+        assert!(out[0].header("retry-after").is_some() && out[0].header(client::WRITE_OUTCOME_HEADER) == Some("no"));
         assert!(town.sim.now() - *took.borrow() < Duration::from_millis(100), "{want} was held back");
     };
     ["g1-a", "g1-b", "g1-c"].iter().for_each(|s| act(&town, s, "dark"));
@@ -161,7 +161,7 @@
         (late, early)
     });
     let (late, early) = out.expect("answers");
-    assert_eq!((name(&late).as_str(), late.close, early.code), ("503 full", true, 200));
+    assert_eq!((name(&late).as_str(), late.close, early.status), ("503 full", true, 200));
     assert!(late.header("retry-after").is_some());
 }
 
@@ -174,7 +174,7 @@
     let set = |size: usize| format!("{{\"op\":\"set\",\"key\":\"k\",\"val\":\"{}\"}}", "x".repeat(size)).into_bytes();
     let many: Vec<_> = (0..66).map(|_| ("POST", "/db/pay/set", set(1))).collect();
     let out = say(&town, &many);
-    assert!(out[..64].iter().all(|r| r.code == 200) && out[64..].iter().all(|r| name(r) == "503 full"));
+    assert!(out[..64].iter().all(|r| r.status == 200) && out[64..].iter().all(|r| name(r) == "503 full"));
     let large: Vec<_> = (0..4).map(|_| ("POST", "/db/pay/set", set(300 << 10))).collect();
     let names: Vec<String> = say(&town, &large).iter().map(name).collect();
     assert_eq!(names, ["200", "200", "200", "503 full"]);
@@ -189,7 +189,7 @@
 }
 
 /// Says one line with headers over a connection of its own.
-fn with(town: &Rc<Town>, verb: &str, head: &[(&'static str, String)]) -> Return {
+fn with(town: &Rc<Town>, verb: &str, head: &[(&'static str, String)]) -> HttpResponse {
     let (env, addr) = (town.desk(), town.layout.spokes[0].http);
     let (path, head) = (format!("/db/{verb}"), head.to_vec());
     let out = town.at_desk(secs(10), async move {
@@ -205,19 +205,19 @@
     town.settle(secs(30)).unwrap();
     town.sim.pass(secs(2));
     let rows = [
-        (caller::DUE, "soon", "400 malformed"),
-        (caller::DUE, "-1", "400 malformed"),
-        (caller::TOKEN, "x", "400 malformed"),
-        (caller::TOKEN, "1.2.3", "400 malformed"),
-        (caller::TOKEN, "1", "400 malformed"),
-        (caller::SEND, &"x".repeat(129), "400 malformed"),
-        (caller::LABEL, &"x".repeat(65), "400 malformed"),
-        (caller::DUE, "0", "503 due"),
+        (client::TIMEOUT_HEADER, "soon", "400 malformed"),
+        (client::TIMEOUT_HEADER, "-1", "400 malformed"),
+        (client::TOKEN_HEADER, "x", "400 malformed"),
+        (client::TOKEN_HEADER, "1.2.3", "400 malformed"),
+        (client::TOKEN_HEADER, "1", "400 malformed"),
+        (client::ATTEMPT_ID_HEADER, &"x".repeat(129), "400 malformed"),
+        (client::LABEL_HEADER, &"x".repeat(65), "400 malformed"),
+        (client::TIMEOUT_HEADER, "0", "503 due"),
     ];
     for (header, text, want) in rows {
         assert_eq!(name(&with(&town, "hours/read", &[(header, text.into())])), want, "{header}: {text}");
     }
-    let twice = [(caller::TOKEN, "1.1".to_string()), (caller::TOKEN, "1.2".to_string())];
+    let twice = [(client::TOKEN_HEADER, "1.1".to_string()), (client::TOKEN_HEADER, "1.2".to_string())];
     assert_eq!(name(&with(&town, "hours/read", &twice)), "400 malformed");
 }
 
@@ -229,8 +229,8 @@
     town.sim.pass(secs(2));
     for token in ["999.1", "1.999999", "18446744073709551615.0", "1.1!"] {
         let start = town.sim.now();
-        let out = with(&town, "hours/read", &[(caller::TOKEN, token.into())]);
-        assert_eq!((out.code, out.header(caller::SERVER)), (200, town.leader("g3").as_deref()), "{token}");
+        let out = with(&town, "hours/read", &[(client::TOKEN_HEADER, token.into())]);
+        assert_eq!((out.status, out.header(client::SERVER_HEADER)), (200, town.leader("g3").as_deref()), "{token}");
         assert!(town.sim.now() - start < Duration::from_millis(100), "{token} was waited on");
     }
 }
--- a/kit/tests/fleet.rs
+++ b/kit/tests/fleet.rs
@@ -20,7 +20,7 @@
         bins,
     };
     let out = compio::runtime::Runtime::new().unwrap().block_on(async {
-        let env = boot::world(None);
+        let env = boot::system_env(None);
         fleet::run(&env, &run).await
     });
     let report = out.unwrap();
--- a/kit/tests/late_orders.rs
+++ b/kit/tests/late_orders.rs
@@ -3,11 +3,11 @@
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-use base::{Bounds, Env, http, tree::Tree};
+use base::{Bounds, Env, http, supervisor::Supervisor};
 use kit::sim::Sim;
 use wire::{
-    Ask, AskReturn, Beat, BeatReturn, Body, Hello, Out, Snapshot,
-    relay::{Head, Relay, Who},
+    Body, ForwardedRequest, ForwardedResponse, Hello, LinkWriter, NodeHeartbeat, NodeHeartbeatAck, Snapshot,
+    relay::{NodeIdentity, Relay, RelayHandler},
 };
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
@@ -27,25 +27,30 @@
     carried: Rc<RefCell<Vec<String>>>,
 }
 
-impl Head for Node {
-    fn rooted(&self) -> bool {
+impl RelayHandler for Node {
+    fn is_leader(&self) -> bool {
         self.rooted
     }
 
-    fn beat(&self, _beat: &mut Beat) {}
+    fn fill_heartbeat(&self, _beat: &mut NodeHeartbeat) {}
 
-    fn returned(&self, _ret: BeatReturn, _sent: Duration) {}
+    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: Duration) {}
 
-    fn news(&self, _news: &Rc<Snapshot>) {}
+    fn on_snapshot(&self, _news: &Rc<Snapshot>) {}
 
-    fn beaten(&self, beat: Beat) -> Option<BeatReturn> {
-        Some(BeatReturn { name: beat.name, boot: beat.boot, nonce: beat.nonce, ..BeatReturn::default() })
+    fn handle_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
+        Some(NodeHeartbeatAck {
+            name: beat.name,
+            boot_id: beat.boot_id,
+            nonce: beat.nonce,
+            ..NodeHeartbeatAck::default()
+        })
     }
 
-    fn asked(&self, ask: Ask, done: Box<dyn FnOnce(AskReturn)>) {
+    fn handle_request(&self, ask: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>) {
         self.carried.borrow_mut().push(ask.path.clone());
-        let Ask { origin, boot, nonce, path, .. } = ask;
-        let ret = AskReturn { origin, boot, nonce, code: 200, ..AskReturn::default() };
+        let ForwardedRequest { origin, boot_id: boot, nonce, path, .. } = ask;
+        let ret = ForwardedResponse { origin, boot_id: boot, nonce, status: 200, ..ForwardedResponse::default() };
         let env = self.env.clone();
         let answer = async move {
             if path.ends_with("never") {
@@ -53,14 +58,14 @@
             }
             if path.ends_with("slow") {
                 env.sleep(SLOW).await;
-                return done(AskReturn { code: SLOW_CODE, ..ret });
+                return done(ForwardedResponse { status: SLOW_CODE, ..ret });
             }
             done(ret);
         };
         self.env.spawn(answer).detach();
     }
 
-    fn other(&self, _from: &Hello, _body: Body, _out: &Out) {}
+    fn on_other_frame(&self, _from: &Hello, _body: Body, _out: &LinkWriter) {}
 }
 
 fn addr(node: usize) -> SocketAddr {
@@ -72,7 +77,7 @@
     sim: Rc<Sim>,
     hosts: Vec<usize>,
     relays: RefCell<Vec<Rc<Relay>>>,
-    trees: RefCell<Vec<Rc<RefCell<Tree>>>>,
+    trees: RefCell<Vec<Rc<RefCell<Supervisor>>>>,
     carried: Rc<RefCell<Vec<String>>>,
 }
 
@@ -91,21 +96,29 @@
             me.trees.borrow_mut().push(tree);
         }
         me.sim.pass(ms(4000));
-        assert!(me.relay(LEAF).fed(), "the leaf hears the leading hub");
+        assert!(me.relay(LEAF).reaches_leader(), "the leaf hears the leading hub");
         me
     }
 
-    fn start(&self, node: usize, env: Env, boot: u64) -> (Rc<Relay>, Rc<RefCell<Tree>>) {
+    fn start(&self, node: usize, env: Env, boot: u64) -> (Rc<Relay>, Rc<RefCell<Supervisor>>) {
         let seeds = if node == ROOT { vec![] } else { vec![addr(node - 1)] };
         let (name, area) = (format!("r{node}"), "north".to_string());
-        let who = Who { name, area, hub: node == ROOT, peer: addr(node), http: addr(node), seeds, boot };
+        let who = NodeIdentity {
+            name,
+            zone: area,
+            is_control_node: node == ROOT,
+            peer: addr(node),
+            http: addr(node),
+            seeds,
+            boot_id: boot,
+        };
         let relay = Relay::new(&env, who, Bounds::default());
-        relay.lead(Rc::new(Node { env: env.clone(), rooted: node == ROOT, carried: self.carried.clone() }));
-        let tree = Rc::new(RefCell::new(Tree::new(&env)));
+        relay.set_handler(Rc::new(Node { env: env.clone(), rooted: node == ROOT, carried: self.carried.clone() }));
+        let tree = Rc::new(RefCell::new(Supervisor::new(&env)));
         let (r, t, e) = (relay.clone(), tree.clone(), env.clone());
         env.spawn(async move {
             let sock = e.listen(addr(node)).await.unwrap();
-            r.tend(&mut t.borrow_mut(), sock);
+            r.supervise(&mut t.borrow_mut(), sock);
         })
         .detach();
         (relay, tree)
@@ -120,10 +133,11 @@
         let out = Rc::new(RefCell::new(None));
         let (told, relay, env) = (out.clone(), self.relay(node), self.sim.env(self.hosts[node]));
         let method = method.parse().unwrap();
-        let ask = http::Ask { method, path: path.into(), head: Default::default(), body: Default::default() };
+        let ask =
+            http::HttpRequest { method, path: path.into(), headers: Default::default(), body: Default::default() };
         let start = env.now();
         let task = async move {
-            let code = relay.pass(ask).await.code;
+            let code = relay.forward(ask).await.status;
             *told.borrow_mut() = Some((code, relay.env.now() - start));
         };
         env.spawn(task).detach();
@@ -237,15 +251,15 @@
 fn a_request_that_nobody_waits_for_any_more_is_forgotten() {
     let row = Row::new(1);
     let relay = row.relay(LEAF);
-    let ask = |path: &str| http::Ask {
+    let ask = |path: &str| http::HttpRequest {
         method: hyper::Method::GET,
         path: path.into(),
-        head: Default::default(),
+        headers: Default::default(),
         body: Default::default(),
     };
     for _ in 0..20 {
         let (relay, env) = (relay.clone(), relay.env.clone());
-        let job = env.spawn(async move { drop(relay.pass(ask("/ops/never")).await) });
+        let job = env.spawn(async move { drop(relay.forward(ask("/ops/never")).await) });
         row.sim.pass(ms(5));
         drop(job);
     }
--- a/kit/tests/news.rs
+++ b/kit/tests/news.rs
@@ -4,8 +4,8 @@
 use std::{cell::Cell, collections::BTreeMap, rc::Rc, time::Duration};
 
 use base::{
-    edge::backend::Report,
-    edge::operator::{Change, Doorway, Group, Readback},
+    edge::backend::ServerReport,
+    edge::operator::{ConfigurationChange, ConfigurationView, Group, Route},
     strict,
 };
 use kit::{
@@ -42,7 +42,7 @@
 async fn operate(
     env: base::Env,
     at: Vec<std::net::SocketAddr>,
-    changes: Vec<Change>,
+    changes: Vec<ConfigurationChange>,
     pause: Duration,
     done: Rc<Cell<u64>>,
 ) {
@@ -50,16 +50,17 @@
     for change in changes {
         loop {
             let node = at[turn % at.len()];
-            let Some(page) = fleet::ask(&env, node, "GET", "/ops/doorways", "").await.filter(|p| p.code == 200) else {
+            let Some(page) = fleet::ask(&env, node, "GET", "/ops/doorways", "").await.filter(|p| p.status == 200)
+            else {
                 turn += 1;
                 env.sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let set: Readback = strict::read(&page.body).expect("a set");
-            let body = Change { after: set.sequence, ..copy(&change) }.serialize_json();
+            let set: ConfigurationView = strict::read(&page.body).expect("a set");
+            let body = ConfigurationChange { after: set.sequence, ..copy(&change) }.serialize_json();
             match fleet::ask(&env, node, "PATCH", "/ops/doorways", &body).await {
-                Some(r) if r.code == 200 => break,
-                Some(r) if r.code == 400 => panic!("{}", String::from_utf8_lossy(&r.body)),
+                Some(r) if r.status == 200 => break,
+                Some(r) if r.status == 400 => panic!("{}", String::from_utf8_lossy(&r.body)),
                 _ => turn += 1,
             }
             env.sleep(Duration::from_millis(50)).await;
@@ -69,33 +70,35 @@
     }
 }
 
-fn copy(change: &Change) -> Change {
+fn copy(change: &ConfigurationChange) -> ConfigurationChange {
     strict::read(change.serialize_json().as_bytes()).expect("a change")
 }
 
-fn route(name: usize, turn: usize) -> Doorway {
-    Doorway { fresh_ms: 1000 + turn as u64, ..Doorway::plain(&format!("route-{name}"), "g1", "bound") }
+fn route(name: usize, turn: usize) -> Route {
+    Route { fresh_ms: 1000 + turn as u64, ..Route::with_defaults(&format!("route-{name}"), "g1", "bound") }
 }
 
 /// One change that brings all routes.
-fn all_routes() -> Change {
-    Change { put: (0..ROUTES).map(|r| route(r, 0)).collect(), ..Change::against(0) }
+fn all_routes() -> ConfigurationChange {
+    ConfigurationChange { put: (0..ROUTES).map(|r| route(r, 0)).collect(), ..ConfigurationChange::based_on(0) }
 }
 
 /// Changes of one route each.
-fn one_by_one(count: usize) -> Vec<Change> {
-    (1..=count).map(|i| Change { put: vec![route(i % ROUTES, i)], ..Change::against(0) }).collect()
+fn one_by_one(count: usize) -> Vec<ConfigurationChange> {
+    (1..=count)
+        .map(|i| ConfigurationChange { put: vec![route(i % ROUTES, i)], ..ConfigurationChange::based_on(0) })
+        .collect()
 }
 
 /// Starts an operator; gives the count of changes made so far.
-fn start(town: &Rc<Town>, changes: Vec<Change>, pause: Duration) -> Rc<Cell<u64>> {
+fn start(town: &Rc<Town>, changes: Vec<ConfigurationChange>, pause: Duration) -> Rc<Cell<u64>> {
     let done = Rc::new(Cell::new(0));
     let at = town.layout.nodes().iter().map(|n| n.addr).collect();
     town.spawn_at_desk(operate(town.desk(), at, changes, pause, done.clone()));
     done
 }
 
-fn make(town: &Rc<Town>, changes: Vec<Change>) {
+fn make(town: &Rc<Town>, changes: Vec<ConfigurationChange>) {
     let count = changes.len() as u64;
     let done = start(town, changes, Duration::ZERO);
     let seen = done.clone();
@@ -111,7 +114,7 @@
         let asks = nodes.iter().map(|n| fleet::ask(&env, n.http, "GET", path, ""));
         futures::future::join_all(asks).await
     });
-    let text = |page: Option<base::http::Return>| page.map(|p| String::from_utf8_lossy(&p.body).into_owned());
+    let text = |page: Option<base::http::HttpResponse>| page.map(|p| String::from_utf8_lossy(&p.body).into_owned());
     out.expect("pages").into_iter().map(text).collect()
 }
 
@@ -277,24 +280,24 @@
 }
 
 /// Changes that each bring a route and a group of their own and take the ones before away.
-fn passing(from: usize, to: usize) -> Vec<Change> {
+fn passing(from: usize, to: usize) -> Vec<ConfigurationChange> {
     let one = |i: usize| {
         let group = format!("passing-{i}");
         let servers: Vec<String> = (0..3).map(|s| format!("{group}-{s}")).collect();
-        let put = Doorway::plain(&format!("route-{i}"), &group, "bound");
+        let put = Route::with_defaults(&format!("route-{i}"), &group, "bound");
         let old = i.checked_sub(1).filter(|old| *old >= from);
-        Change {
+        ConfigurationChange {
             put: vec![put],
-            groups: vec![Group::plain(&group, &servers, 40)],
+            groups: vec![Group::with_defaults(&group, &servers, 40)],
             drop: old.map(|i| format!("route-{i}")).into_iter().collect(),
             drop_groups: old.map(|i| format!("passing-{i}")).into_iter().collect(),
-            ..Change::against(0)
+            ..ConfigurationChange::based_on(0)
         }
     };
-    let last = Change {
+    let last = ConfigurationChange {
         drop: vec![format!("route-{}", to - 1)],
         drop_groups: vec![format!("passing-{}", to - 1)],
-        ..Change::against(0)
+        ..ConfigurationChange::based_on(0)
     };
     (from..to).map(one).chain([last]).collect()
 }
@@ -323,7 +326,7 @@
 /// Reports of a group's servers, at addresses where nobody listens.
 async fn report(env: base::Env, at: std::net::SocketAddr, group: String, host: usize) {
     for server in 0..3 {
-        let body = Report {
+        let body = ServerReport {
             server: format!("{group}-{server}"),
             area: "north".into(),
             addr: format!("127.9.{host}.{}:4000", server + 1),
--- a/kit/tests/orders.rs
+++ b/kit/tests/orders.rs
@@ -327,11 +327,11 @@
     let Ok(io) = env.connect(node, secs(1)).await else { return 0 };
     let mut wire = Wire::new(io);
     // A node may answer and close before it has read all.
-    let _ = env.within(secs(5), wire.write(&order.bytes)).await;
+    let _ = env.timeout(secs(5), wire.write(&order.bytes)).await;
     if order.ends {
         wire.close().await;
     }
-    let Ok(Ok(line)) = env.within(secs(5), wire.line()).await else { return 0 };
+    let Ok(Ok(line)) = env.timeout(secs(5), wire.line()).await else { return 0 };
     line.split(' ').nth(1).and_then(|c| c.parse().ok()).unwrap_or(0)
 }
 
--- a/kit/tests/relay_news.rs
+++ b/kit/tests/relay_news.rs
@@ -3,11 +3,12 @@
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-use base::{Bounds, Env, tree::Tree};
+use base::{Bounds, Env, supervisor::Supervisor};
 use kit::sim::Sim;
 use wire::{
-    Ask, AskReturn, Beat, BeatReturn, Body, Doorway, Hello, Image, Mark, News, NewsDelta, Out, Root, Snapshot, open,
-    relay::{Head, Relay, Who},
+    Body, ForwardedRequest, ForwardedResponse, FullSnapshot, Hello, Image, LinkWriter, NodeHeartbeat, NodeHeartbeatAck,
+    ParentStatus, Route, Snapshot, SnapshotDelta, SnapshotVersion, open,
+    relay::{NodeIdentity, Relay, RelayHandler},
 };
 
 fn ms(n: u64) -> Duration {
@@ -18,22 +19,22 @@
     SocketAddr::from(([127, 0, 0, host], 4000))
 }
 
-fn mark(count: u64) -> Mark {
-    Mark { term: 1, count }
+fn mark(count: u64) -> SnapshotVersion {
+    SnapshotVersion { term: 1, count }
 }
 
 /// The news that was published under a count: as many doorways.
-fn news(count: u64) -> News {
-    let doorway = |i: u64| Doorway { name: format!("d{i}"), fresh_ms: i, ..Doorway::default() };
-    let image = Image { sequence: count, doorways: (0..count).map(doorway).collect(), ..Image::default() };
-    News { mark: Some(mark(count)), image: Some(image), ..News::default() }
+fn news(count: u64) -> FullSnapshot {
+    let doorway = |i: u64| Route { name: format!("d{i}"), fresh_ms: i, ..Route::default() };
+    let image = Image { sequence: count, routes: (0..count).map(doorway).collect(), ..Image::default() };
+    FullSnapshot { version: Some(mark(count)), image: Some(image), ..FullSnapshot::default() }
 }
 
 fn snapshot(count: u64) -> Snapshot {
-    Snapshot::from_news(news(count)).expect("whole news")
+    Snapshot::from_message(news(count)).expect("whole news")
 }
 
-fn delta(from: u64, to: u64) -> NewsDelta {
+fn delta(from: u64, to: u64) -> SnapshotDelta {
     snapshot(from).delta_to(&snapshot(to))
 }
 
@@ -44,34 +45,42 @@
     taken: RefCell<Vec<Rc<Snapshot>>>,
 }
 
-impl Head for Recorder {
-    fn rooted(&self) -> bool {
+impl RelayHandler for Recorder {
+    fn is_leader(&self) -> bool {
         self.root
     }
-    fn beat(&self, _beat: &mut Beat) {}
-    fn returned(&self, _ret: BeatReturn, _sent: Duration) {}
-    fn news(&self, news: &Rc<Snapshot>) {
+    fn fill_heartbeat(&self, _beat: &mut NodeHeartbeat) {}
+    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: Duration) {}
+    fn on_snapshot(&self, news: &Rc<Snapshot>) {
         self.taken.borrow_mut().push(news.clone());
     }
-    fn beaten(&self, _beat: Beat) -> Option<BeatReturn> {
+    fn handle_heartbeat(&self, _beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         None
     }
-    fn asked(&self, _ask: Ask, _done: Box<dyn FnOnce(AskReturn)>) {}
-    fn other(&self, _from: &Hello, _body: Body, _out: &Out) {}
+    fn handle_request(&self, _ask: ForwardedRequest, _done: Box<dyn FnOnce(ForwardedResponse)>) {}
+    fn on_other_frame(&self, _from: &Hello, _body: Body, _out: &LinkWriter) {}
 }
 
 /// A relay at an address, with its tasks.
 fn relay(sim: &Rc<Sim>, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) -> (Rc<Relay>, Rc<Recorder>) {
     let env = sim.env(sim.host(name, "north"));
     let root = seeds.is_empty();
-    let who = Who { name: name.into(), area: "north".into(), hub: root, peer: at, http: at, seeds, boot: 7 };
+    let who = NodeIdentity {
+        name: name.into(),
+        zone: "north".into(),
+        is_control_node: root,
+        peer: at,
+        http: at,
+        seeds,
+        boot_id: 7,
+    };
     let relay = Relay::new(&env, who, Bounds::default());
     let recorder = Rc::new(Recorder { root, ..Recorder::default() });
-    relay.lead(recorder.clone());
+    relay.set_handler(recorder.clone());
     let (served, place) = (relay.clone(), env.clone());
     let task = async move {
-        let mut tree = Tree::new(&place);
-        served.tend(&mut tree, place.listen(at).await.expect("a free address"));
+        let mut tree = Supervisor::new(&place);
+        served.supervise(&mut tree, place.listen(at).await.expect("a free address"));
         std::future::pending::<()>().await;
     };
     env.spawn(task).detach();
@@ -79,11 +88,15 @@
 }
 
 /// Plays a parent that answers beats and sends these frames, each after a pause; keeps the marks of requests.
-async fn parent(env: Env, at: SocketAddr, frames: Vec<Body>, requests: Rc<RefCell<Vec<Mark>>>) {
+async fn parent(env: Env, at: SocketAddr, frames: Vec<Body>, requests: Rc<RefCell<Vec<SnapshotVersion>>>) {
     let sock = env.listen(at).await.expect("a free address");
     let (mut inn, out) = open(&env, sock.accept().await.expect("a link"));
-    out.send(Body::Hello(Hello { name: "parent".into(), area: "north".into(), hub: true, ..Hello::default() }));
-    out.send(Body::Root(Root { fed: true, path: vec!["parent".into()], ..Root::default() }));
+    out.send(Body::Hello(Hello { name: "parent".into(), zone: "north".into(), hub: true, ..Hello::default() }));
+    out.send(Body::ParentStatus(ParentStatus {
+        reaches_leader: true,
+        path: vec!["parent".into()],
+        ..ParentStatus::default()
+    }));
     let (place, sender) = (env.clone(), out.clone());
     let send = async move {
         place.sleep(ms(300)).await;
@@ -95,11 +108,16 @@
     env.spawn(send).detach();
     while let Ok(body) = inn.next().await {
         match body {
-            Body::Beat(b) => {
-                let ret = BeatReturn { name: b.name, boot: b.boot, nonce: b.nonce, ..BeatReturn::default() };
-                out.send(Body::BeatReturn(ret));
+            Body::NodeHeartbeat(b) => {
+                let ret = NodeHeartbeatAck {
+                    name: b.name,
+                    boot_id: b.boot_id,
+                    nonce: b.nonce,
+                    ..NodeHeartbeatAck::default()
+                };
+                out.send(Body::NodeHeartbeatAck(ret));
             }
-            Body::NewsRequest(r) => requests.borrow_mut().push(r.mark.unwrap_or_default()),
+            Body::SnapshotRequest(r) => requests.borrow_mut().push(r.version.unwrap_or_default()),
             _ => {}
         }
     }
@@ -108,24 +126,24 @@
 #[test]
 fn a_node_takes_only_what_was_published_never_goes_back_and_asks_once_for_the_whole() {
     let mut bad = delta(5, 6);
-    bad.doorways[0].fresh_ms += 1;
+    bad.routes[0].fresh_ms += 1;
     let frames = vec![
-        Body::News(news(1)),
-        Body::NewsDelta(delta(1, 2)),
+        Body::FullSnapshot(news(1)),
+        Body::SnapshotDelta(delta(1, 2)),
         // Once more, then an older one, then two over a gap.
-        Body::NewsDelta(delta(1, 2)),
-        Body::News(news(1)),
-        Body::NewsDelta(delta(3, 4)),
-        Body::NewsDelta(delta(4, 5)),
-        Body::News(news(4)),
-        Body::NewsDelta(delta(4, 5)),
-        Body::News(news(3)),
+        Body::SnapshotDelta(delta(1, 2)),
+        Body::FullSnapshot(news(1)),
+        Body::SnapshotDelta(delta(3, 4)),
+        Body::SnapshotDelta(delta(4, 5)),
+        Body::FullSnapshot(news(4)),
+        Body::SnapshotDelta(delta(4, 5)),
+        Body::FullSnapshot(news(3)),
         // One that does not lead to what was published.
-        Body::NewsDelta(bad),
-        Body::News(news(6)),
+        Body::SnapshotDelta(bad),
+        Body::FullSnapshot(news(6)),
     ];
     let sim = Sim::new(1);
-    let requests = Rc::<RefCell<Vec<Mark>>>::default();
+    let requests = Rc::<RefCell<Vec<SnapshotVersion>>>::default();
     let env = sim.env(sim.host("parent", "north"));
     env.spawn(parent(env.clone(), addr(1), frames, requests.clone())).detach();
     let (relay, recorder) = relay(&sim, "child", addr(2), vec![addr(1)]);
@@ -133,12 +151,12 @@
     let taken: Vec<Snapshot> = recorder.taken.borrow().iter().map(|s| (**s).clone()).collect();
     assert_eq!(taken, [1, 2, 4, 5, 6].map(snapshot));
     assert_eq!(*requests.borrow(), [mark(2), mark(5)]);
-    let counts = &relay.news_counts;
+    let counts = &relay.snapshot_counters;
     assert_eq!((counts.mismatches.get(), counts.requests.get(), counts.whole.get()), (1, 2, 5));
 }
 
 /// Plays a child that tells in its first beat that it holds this mark; keeps the news it is sent.
-fn child(sim: &Rc<Sim>, name: &str, deltas: bool, seen: Mark) -> Rc<RefCell<Vec<Body>>> {
+fn child(sim: &Rc<Sim>, name: &str, deltas: bool, seen: SnapshotVersion) -> Rc<RefCell<Vec<Body>>> {
     let got = Rc::<RefCell<Vec<Body>>>::default();
     let (env, kept, name) = (sim.env(sim.host(name, "north")), got.clone(), name.to_string());
     let place = env.clone();
@@ -146,9 +164,9 @@
         let io = place.connect(addr(1), ms(200)).await.expect("a link");
         let (mut inn, out) = open(&place, io);
         out.send(Body::Hello(Hello { name: name.clone(), deltas, ..Hello::default() }));
-        out.send(Body::Beat(Beat { name, seen: Some(seen), ..Beat::default() }));
+        out.send(Body::NodeHeartbeat(NodeHeartbeat { name, snapshot_version: Some(seen), ..NodeHeartbeat::default() }));
         while let Ok(body) = inn.next().await {
-            if matches!(body, Body::News(_) | Body::NewsDelta(_)) {
+            if matches!(body, Body::FullSnapshot(_) | Body::SnapshotDelta(_)) {
                 kept.borrow_mut().push(body);
             }
         }
@@ -165,21 +183,21 @@
     sim.pass(ms(100));
     root.publish(snapshot(1));
     let level = child(&sim, "level", true, mark(1));
-    let empty = child(&sim, "empty", true, Mark::default());
+    let empty = child(&sim, "empty", true, SnapshotVersion::default());
     let newer = child(&sim, "newer", true, mark(9));
     let plain = child(&sim, "plain", false, mark(1));
     assert!(level.borrow().is_empty() && newer.borrow().is_empty() && plain.borrow().is_empty());
-    assert_eq!(*empty.borrow(), [Body::News(news(1))]);
+    assert_eq!(*empty.borrow(), [Body::FullSnapshot(news(1))]);
     root.publish(snapshot(2));
     sim.pass(ms(100));
-    assert_eq!(*level.borrow(), [Body::NewsDelta(delta(1, 2))]);
-    assert_eq!(*empty.borrow(), [Body::News(news(1)), Body::NewsDelta(delta(1, 2))]);
-    assert_eq!(*plain.borrow(), [Body::News(news(2))]);
+    assert_eq!(*level.borrow(), [Body::SnapshotDelta(delta(1, 2))]);
+    assert_eq!(*empty.borrow(), [Body::FullSnapshot(news(1)), Body::SnapshotDelta(delta(1, 2))]);
+    assert_eq!(*plain.borrow(), [Body::FullSnapshot(news(2))]);
     assert!(newer.borrow().is_empty());
     let late = child(&sim, "late", true, mark(1));
-    let other = child(&sim, "other", true, Mark { term: 0, count: 5 });
-    assert_eq!(*late.borrow(), [Body::NewsDelta(delta(1, 2))]);
-    assert_eq!(*other.borrow(), [Body::News(news(2))]);
+    let other = child(&sim, "other", true, SnapshotVersion { term: 0, count: 5 });
+    assert_eq!(*late.borrow(), [Body::SnapshotDelta(delta(1, 2))]);
+    assert_eq!(*other.borrow(), [Body::FullSnapshot(news(2))]);
 }
 
 /// Nodes that came and went below a child are forgotten; one that still beats is not.
@@ -195,8 +213,8 @@
         let (_inn, out) = open(&place, io);
         out.send(Body::Hello(Hello { name: "child".into(), ..Hello::default() }));
         for i in 0..2000 {
-            out.send(Body::Beat(Beat { name: format!("below{i}"), ..Beat::default() }));
-            out.send(Body::Beat(Beat { name: "child".into(), ..Beat::default() }));
+            out.send(Body::NodeHeartbeat(NodeHeartbeat { name: format!("below{i}"), ..NodeHeartbeat::default() }));
+            out.send(Body::NodeHeartbeat(NodeHeartbeat { name: "child".into(), ..NodeHeartbeat::default() }));
             place.sleep(ms(10)).await;
         }
         std::future::pending::<()>().await;
--- a/kit/tests/soak.rs
+++ b/kit/tests/soak.rs
@@ -23,7 +23,7 @@
     let script = script.map(|text| soak::read(text).expect("a script"));
     let run = Soak { seed, span, processes: 9, callers: 40, busy: 0, script, folder: folder.clone(), bins };
     let out = compio::runtime::Runtime::new().expect("a runtime").block_on(async {
-        let env = boot::world(None);
+        let env = boot::system_env(None);
         soak::run(&env, &run, |line| println!("{line}")).await
     });
     let report = out.expect("the soak runs");
--- a/pick/src/policy.rs
+++ b/pick/src/policy.rs
@@ -25,7 +25,7 @@
 
 /// Why a server is in or out of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum Reason {
     Healthy,
     Errors,
     Lag,
@@ -37,16 +37,16 @@
     Open,
 }
 
-impl Why {
+impl Reason {
     /// The word operators read.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::Healthy => "healthy",
-            Why::Errors => "error-rate",
-            Why::Lag => "lag",
-            Why::Spare => "fallback-not-needed",
-            Why::TooFew => "too-few-healthy",
-            Why::Open => "failed-open",
+            Reason::Healthy => "healthy",
+            Reason::Errors => "error-rate",
+            Reason::Lag => "lag",
+            Reason::Spare => "fallback-not-needed",
+            Reason::TooFew => "too-few-healthy",
+            Reason::Open => "failed-open",
         }
     }
 }
@@ -54,7 +54,7 @@
 /// An evaluation that could not be carried out.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("server {server}: {field} is not a number")]
-pub struct Fault {
+pub struct InvalidMetric {
     pub server: String,
     pub field: &'static str,
 }
@@ -75,31 +75,31 @@
 
 impl Policy {
     /// Judges all registered servers; says for each whether it is in, and why.
-    pub fn evaluate(&self, all: &[Candidate]) -> Result<Vec<(bool, Why)>, Fault> {
+    pub fn evaluate(&self, all: &[Candidate]) -> Result<Vec<(bool, Reason)>, InvalidMetric> {
         let mut out = Vec::with_capacity(all.len());
         for c in all {
             let m = &c.metrics;
             for (field, n) in [("error_rate", m.error_rate), ("throttled_rate", m.throttled_rate), ("p90", m.p90)] {
                 if !n.is_finite() {
-                    return Err(Fault { server: c.name.clone(), field });
+                    return Err(InvalidMetric { server: c.name.clone(), field });
                 }
             }
             let row = if m.error_rate >= self.max_error_rate {
-                (false, Why::Errors)
+                (false, Reason::Errors)
             } else if m.lag >= self.max_lag {
-                (false, Why::Lag)
+                (false, Reason::Lag)
             } else if c.fallback {
-                (false, Why::Spare)
+                (false, Reason::Spare)
             } else {
-                (true, Why::Healthy)
+                (true, Reason::Healthy)
             };
             out.push(row);
         }
         if out.iter().filter(|r| r.0).count() < self.min_healthy {
-            out.iter_mut().filter(|r| !r.0).for_each(|r| *r = (true, Why::TooFew));
+            out.iter_mut().filter(|r| !r.0).for_each(|r| *r = (true, Reason::TooFew));
         }
         if out.iter().all(|r| !r.0) {
-            out.iter_mut().for_each(|r| *r = (true, Why::Open));
+            out.iter_mut().for_each(|r| *r = (true, Reason::Open));
         }
         Ok(out)
     }
--- a/pick/src/weight.rs
+++ b/pick/src/weight.rs
@@ -9,7 +9,7 @@
 const LEAST: f64 = 0.125;
 
 /// Moves each weight half-way towards what the figures say. `cold` runs from 0, warm, to 1.
-pub fn tune<'a>(old: &Weights, rows: impl Iterator<Item = (&'a str, Metrics, f64)> + Clone) -> Weights {
+pub fn adjust_weights<'a>(old: &Weights, rows: impl Iterator<Item = (&'a str, Metrics, f64)> + Clone) -> Weights {
     let best = rows.clone().map(|(_, m, _)| m.p90).filter(|p| *p > 0.0).fold(f64::INFINITY, f64::min);
     rows.map(|(name, m, cold)| {
         let speed = if m.p90 > 0.0 && best.is_finite() { best / m.p90 } else { 1.0 };
--- a/pick/tests/policy.rs
+++ b/pick/tests/policy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bolero::check;
-use pick::{Candidate, Metrics, Outcome, Policy, Standing, Why, Window, choose, tune};
+use pick::{Candidate, EligibleSet, Metrics, Outcome, Policy, Reason, Window, adjust_weights, choose};
 
 const KEEP: Duration = Duration::from_secs(3600);
 
@@ -31,23 +31,23 @@
 
 #[test]
 fn the_list_holds_between_runs_and_through_a_failing_one() {
-    let mut s = Standing::default();
-    assert!(s.has("a") && s.has("b"), "before any decision all are in");
+    let mut s = EligibleSet::default();
+    assert!(s.contains("a") && s.contains("b"), "before any decision all are in");
     let good = [row("a", false, 0.0, 0), row("b", false, 0.9, 0)];
     s.evaluate(Duration::ZERO, KEEP, &Policy::default(), &good).unwrap();
-    assert!(s.has("a") && !s.has("b"));
+    assert!(s.contains("a") && !s.contains("b"));
     let mut torn = good.clone();
     torn[0].metrics.error_rate = f64::NAN;
     let fault = s.evaluate(Duration::from_secs(60), KEEP, &Policy::default(), &torn).unwrap_err();
     assert_eq!((fault.server.as_str(), fault.field), ("a", "error_rate"));
-    assert!(s.has("a") && !s.has("b"), "the last set stays");
+    assert!(s.contains("a") && !s.contains("b"), "the last set stays");
     let last = s.ring().last().unwrap();
-    assert!(last.fault.is_some() && last.rows.len() == 2);
+    assert!(last.error.is_some() && last.servers.len() == 2);
 }
 
 #[test]
 fn the_ring_is_bounded_by_time_and_count() {
-    let mut s = Standing::default();
+    let mut s = EligibleSet::default();
     for i in 0..10_000u64 {
         s.evaluate(Duration::from_millis(i), KEEP, &Policy::default(), &[row("a", false, 0.0, 0)]).unwrap();
     }
@@ -94,7 +94,7 @@
     let slow = Metrics { p90: 1.0, ..Metrics::default() };
     let mut w = Default::default();
     for _ in 0..20 {
-        w = tune(&w, [("a", fast, 0.0), ("b", slow, 0.0), ("c", fast, 1.0)].into_iter());
+        w = adjust_weights(&w, [("a", fast, 0.0), ("b", slow, 0.0), ("c", fast, 1.0)].into_iter());
     }
     assert!(w["a"] > 0.99 && w["b"] < 0.13 && w["c"] < 0.13, "{w:?}");
     let rows = [(w["a"], 0.0), (w["b"], 0.0)];
@@ -124,7 +124,7 @@
         };
         assert_eq!(out.len(), rows.len());
         assert!(rows.is_empty() || out.iter().any(|o| o.0));
-        let few = out.iter().any(|o| o.1 == Why::TooFew);
+        let few = out.iter().any(|o| o.1 == Reason::TooFew);
         assert!(!few || out.iter().all(|o| o.0));
     });
 }
--- a/spoke/src/decide/mod.rs
+++ b/spoke/src/decide/mod.rs
@@ -8,10 +8,10 @@
     view::{Journal, View},
 };
 use base::{
-    Bounds, Kind,
-    edge::{backend::Signs, caller::Token, operator::Promise},
-    seam::Env,
-    words::Position,
+    Bounds, ErrorKind,
+    edge::{backend::ResponseMetadata, client::Token, operator::Consistency},
+    position::Position,
+    runtime::Env,
 };
 use pick::choose;
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     Send(Target),
-    Return(Kind),
+    Return(ErrorKind),
 }
 
 /// A doorway as a statement finds it.
@@ -46,7 +46,7 @@
 pub struct MatchedRoute {
     pub name: String,
     pub group: String,
-    pub promise: Promise,
+    pub promise: Consistency,
     pub fall: bool,
     /// How long a statement may take, how soon an answer is wanted, how old a commit a read may miss; where told.
     pub most: Option<Duration>,
@@ -70,43 +70,43 @@
 
 impl Decider {
     /// Whether this node may take new work at all.
-    pub fn admit(&self) -> Result<(), Kind> {
+    pub fn admit(&self) -> Result<(), ErrorKind> {
         self.able(Duration::ZERO)
     }
 
     /// Whether a transaction that is open may go on here.
-    pub fn stay(&self) -> Result<(), Kind> {
-        self.able(self.bounds.leave())
+    pub fn stay(&self) -> Result<(), ErrorKind> {
+        self.able(self.bounds.evacuation_grace())
     }
 
     /// Whether the leading hub's word was the newest lately.
     pub fn confirmed(&self) -> bool {
         let view = self.journal.view();
-        let fresh = view.confirmed.is_some_and(|t| self.env.now() <= t + self.bounds.confirm());
+        let fresh = view.confirmed.is_some_and(|t| self.env.now() <= t + self.bounds.confirmation_validity());
         fresh || (self.disabled.no_confirm && view.image.is_some())
     }
 
     /// Whether work may go on, in an area that was emptied no longer than `since` ago.
-    fn able(&self, since: Duration) -> Result<(), Kind> {
+    fn able(&self, since: Duration) -> Result<(), ErrorKind> {
         let emptied = self.journal.view().emptied.get(&self.area).is_some_and(|t| self.env.now() >= *t + since);
         if emptied && !self.disabled.no_empty && !self.keep_on {
-            return Err(Kind::Emptied);
+            return Err(ErrorKind::ZoneEvacuated);
         }
-        if self.confirmed() { Ok(()) } else { Err(Kind::Unconfirmed) }
+        if self.confirmed() { Ok(()) } else { Err(ErrorKind::Unconfirmed) }
     }
 
     /// The doorway of a name.
-    pub fn gate(&self, name: &str) -> Result<MatchedRoute, Kind> {
+    pub fn gate(&self, name: &str) -> Result<MatchedRoute, ErrorKind> {
         let view = self.journal.view();
-        view.image.as_ref().ok_or(Kind::Unconfirmed)?;
-        let d = view.doorway(name).ok_or(Kind::NoDatabase)?;
-        let promise = Promise::find(&d.promise).ok_or(Kind::NoDatabase)?;
+        view.image.as_ref().ok_or(ErrorKind::Unconfirmed)?;
+        let d = view.doorway(name).ok_or(ErrorKind::NoDatabase)?;
+        let promise = Consistency::parse(&d.consistency).ok_or(ErrorKind::NoDatabase)?;
         let span = |ms: u64| (ms > 0).then(|| Duration::from_millis(ms));
         Ok(MatchedRoute {
             name: d.name.clone(),
             group: d.group.clone(),
             promise,
-            fall: d.fall,
+            fall: d.fallback,
             most: span(d.statement_ms),
             aim: span(d.aim_ms),
             fresh: span(d.fresh_ms),
@@ -118,7 +118,7 @@
         let view = self.journal.view();
         let l = view.image.as_ref().and_then(|i| i.limits).unwrap_or_default();
         let or = |n: u64, d: Duration| if n == 0 { d } else { Duration::from_millis(n) };
-        (or(l.statement_ms, self.bounds.statement()), or(l.idle_ms, self.bounds.idle()))
+        (or(l.statement_ms, self.bounds.statement_timeout()), or(l.idle_ms, self.bounds.transaction_idle_timeout()))
     }
 
     /// Whether a server must get no new work: draining, gone, or in an emptied area. Judged at every statement.
@@ -129,7 +129,7 @@
         if leads {
             // A leader works on until its successor does, but not past the bound.
             let since = [s.draining, emptied].into_iter().flatten().min();
-            return since.is_some_and(|t| now > t + self.bounds.leave());
+            return since.is_some_and(|t| now > t + self.bounds.evacuation_grace());
         }
         let dead = self.gauges.sight(server).fails > 0;
         (s.draining.is_some() || s.gone.is_some() || emptied.is_some() || dead) && !self.disabled.no_veto
@@ -139,18 +139,19 @@
     pub fn open(&self, target: &Target) -> bool {
         let leads = matches!(target.basis, Basis::Leader { .. });
         let view = self.journal.view();
-        let allowed = view.image.as_ref().and_then(|i| i.home(&target.server)).is_some_and(|g| g.name == target.group);
+        let allowed =
+            view.image.as_ref().and_then(|i| i.group_of(&target.server)).is_some_and(|g| g.name == target.group);
         (allowed || self.disabled.no_group) && !self.vetoed(&view, &target.server, leads)
     }
 
-    fn leader(&self, view: &View, group: &str) -> Result<Target, Kind> {
+    fn leader(&self, view: &View, group: &str) -> Result<Target, ErrorKind> {
         let now = self.env.now();
-        let l = view.leads.get(group).ok_or(Kind::NoLeader)?;
+        let l = view.leads.get(group).ok_or(ErrorKind::NoPrimary)?;
         if now >= l.until && !self.disabled.no_fence {
-            return Err(Kind::NoLeader);
+            return Err(ErrorKind::NoPrimary);
         }
         if self.vetoed(view, &l.server, true) {
-            return Err(Kind::NoLeader);
+            return Err(ErrorKind::NoPrimary);
         }
         Ok(Target { server: l.server.clone(), group: group.into(), basis: Basis::Leader { line: l.line } })
     }
@@ -164,14 +165,14 @@
             Err(k) => return Order::Return(k),
         };
         let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
-            return Order::Return(Kind::NoDatabase);
+            return Order::Return(ErrorKind::NoDatabase);
         };
         // With no follower that receives, a commit could not be acknowledged: refuse while "not kept" is certain.
-        let since = now.saturating_sub(self.bounds.fresh());
+        let since = now.saturating_sub(self.bounds.freshness_bound());
         if let Some((_, head)) = self.gauges.head(&gate.group, since) {
             let follows = |s: &&String| **s != lead.server && self.gauges.holds(s, head) && self.gauges.counts(s);
             if g.servers.len() > 1 && g.servers.iter().filter(follows).count() == 0 {
-                return Order::Return(Kind::NoServer);
+                return Order::Return(ErrorKind::NoServer);
             }
         }
         Order::Send(lead)
@@ -181,17 +182,17 @@
     pub fn read(&self, gate: &MatchedRoute, key: &Key, token: Token, tried: &[String]) -> Order {
         let view = self.journal.view();
         let lead = self.leader(&view, &gate.group);
-        let own = gate.promise == Promise::Session && token.unsure && !self.disabled.no_token;
-        if gate.promise == Promise::Leader || own {
+        let own = gate.promise == Consistency::Session && token.outcome_unknown && !self.disabled.no_token;
+        if gate.promise == Consistency::Leader || own {
             return match lead {
                 Ok(t) if tried.iter().filter(|s| **s == t.server).count() < 2 => Order::Send(t),
-                Ok(_) => Order::Return(Kind::Failed),
+                Ok(_) => Order::Return(ErrorKind::ServerFailed),
                 Err(k) => Order::Return(k),
             };
         }
         let leader = view.leads.get(&gate.group).map(|l| l.server.clone());
         let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
-            return Order::Return(Kind::NoDatabase);
+            return Order::Return(ErrorKind::NoDatabase);
         };
         let any = view.servers.keys().filter(|_| self.disabled.no_group);
         let own = g.servers.iter().filter(|_| !self.disabled.no_group);
@@ -207,7 +208,7 @@
         }
         match lead {
             Ok(t) if gate.fall && !tried.contains(&t.server) => Order::Send(t),
-            Ok(_) => Order::Return(Kind::NoServer),
+            Ok(_) => Order::Return(ErrorKind::NoServer),
             Err(k) => Order::Return(k),
         }
     }
@@ -217,17 +218,17 @@
         let now = self.env.now();
         let none = Basis::Seen { place: Position::default() };
         match gate.promise {
-            Promise::Leader => None,
-            Promise::Any => Some(none),
-            Promise::Session if self.disabled.no_token => Some(none),
-            Promise::Session => {
-                let held = token.seen == Position::default() || self.gauges.holds(server, token.seen);
-                held.then_some(Basis::Seen { place: token.seen })
+            Consistency::Leader => None,
+            Consistency::Any => Some(none),
+            Consistency::Session if self.disabled.no_token => Some(none),
+            Consistency::Session => {
+                let held = token.read_floor == Position::default() || self.gauges.holds(server, token.read_floor);
+                held.then_some(Basis::Seen { place: token.read_floor })
             }
-            Promise::Bound if self.disabled.no_fresh => Some(none),
-            Promise::Bound => {
+            Consistency::Bound if self.disabled.no_fresh => Some(none),
+            Consistency::Bound => {
                 // A sixth of the bound is left for the way there and back.
-                let room = self.bounds.fresh() * 5 / 6;
+                let room = self.bounds.freshness_bound() * 5 / 6;
                 let (asked, head) = self.gauges.head(&gate.group, now.saturating_sub(room))?;
                 self.gauges.holds(server, head).then_some(Basis::Head { asked, head })
             }
@@ -238,7 +239,7 @@
         let mut lists = self.gauges.lists.borrow_mut();
         let list = lists.entry(key.clone()).or_default();
         let sampled = fit.iter().find(|(s, _)| {
-            !list.standing.has(s) && list.samples.get(*s).is_some_and(|n| *n > 0) && self.env.below(8) == 0
+            !list.standing.contains(s) && list.samples.get(*s).is_some_and(|n| *n > 0) && self.env.rand_below(8) == 0
         });
         let (server, basis) = match sampled {
             Some((s, b)) => {
@@ -248,14 +249,14 @@
                 (*s, b)
             }
             None => {
-                let within: Vec<_> = fit.iter().filter(|(s, _)| list.standing.has(s)).collect();
+                let within: Vec<_> = fit.iter().filter(|(s, _)| list.standing.contains(s)).collect();
                 // Fails open to those that are left, never to a vetoed server or past the doorway.
                 let rows: Vec<_> = if within.is_empty() { fit.iter().collect() } else { within };
                 let pairs: Vec<(f64, f64)> = rows
                     .iter()
                     .map(|(s, _)| (list.weights.get(*s).copied().unwrap_or(1.0), self.pools.load(s)))
                     .collect();
-                let roll = || self.env.below(1 << 20) as f64 / (1u64 << 20) as f64;
+                let roll = || self.env.rand_below(1 << 20) as f64 / (1u64 << 20) as f64;
                 let (s, b) = rows[choose(&pairs, (roll(), roll()))?];
                 (*s, b)
             }
@@ -265,15 +266,15 @@
 
     /// Where a write or a transaction of a group whose servers confirm may go. One that answers nothing here may be
     /// reached from another node.
-    pub fn lead(&self, group: &str) -> Result<Target, Kind> {
+    pub fn lead(&self, group: &str) -> Result<Target, ErrorKind> {
         let target = self.leader(&self.journal.view(), group)?;
-        if self.silent(&target.server) { Err(Kind::NoServer) } else { Ok(target) }
+        if self.silent(&target.server) { Err(ErrorKind::NoServer) } else { Ok(target) }
     }
 
     /// Whether what this node asks of a server stands unanswered for too long.
     fn silent(&self, server: &str) -> bool {
         let x = self.gauges.sight(server);
-        x.silent(self.pools.trying(server)).is_some_and(|t| self.env.now() > t + self.bounds.missed() / 2)
+        x.silent(self.pools.trying(server)).is_some_and(|t| self.env.now() > t + self.bounds.server_missed_after() / 2)
     }
 
     /// Whether the leave to act on the target as leader stands now. What was begun under it may be ended without it: the
@@ -290,10 +291,10 @@
         let view = self.journal.view();
         let lead = self.leader(&view, &gate.group);
         let floor = match gate.promise {
-            Promise::Leader => None,
-            Promise::Any => Some(Position::default()),
-            Promise::Bound | Promise::Session => {
-                let fresh = gate.fresh.unwrap_or(self.bounds.fresh());
+            Consistency::Leader => None,
+            Consistency::Any => Some(Position::default()),
+            Consistency::Bound | Consistency::Session => {
+                let fresh = gate.fresh.unwrap_or(self.bounds.freshness_bound());
                 let since = self.env.now().saturating_sub(fresh * 5 / 6);
                 let own = if self.disabled.no_token { Position::default() } else { own };
                 let head = self.gauges.head(&gate.group, since).map(|(_, head)| head.max(own));
@@ -301,15 +302,15 @@
             }
         };
         let again = |s: &String| tried.iter().filter(|t| *t == s).count();
-        let at_lead = |k: Kind| match &lead {
+        let at_lead = |k: ErrorKind| match &lead {
             Ok(t) if again(&t.server) < 2 => Order::Send(t.clone()),
-            Ok(_) => Order::Return(Kind::Failed),
+            Ok(_) => Order::Return(ErrorKind::ServerFailed),
             Err(_) => Order::Return(k),
         };
-        let Some(floor) = floor else { return at_lead(Kind::NoLeader) };
+        let Some(floor) = floor else { return at_lead(ErrorKind::NoPrimary) };
         let leader = view.leads.get(&gate.group).map(|l| l.server.clone());
         let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
-            return Order::Return(Kind::NoDatabase);
+            return Order::Return(ErrorKind::NoDatabase);
         };
         let free = |s: &&String| {
             Some(*s) != leader.as_ref()
@@ -331,7 +332,7 @@
         let in_list = |rows: &[(&String, Basis)]| {
             let lists = self.gauges.lists.borrow();
             let list = lists.get(key);
-            rows.iter().any(|(s, _)| list.is_none_or(|l| l.standing.has(s)))
+            rows.iter().any(|(s, _)| list.is_none_or(|l| l.standing.contains(s)))
         };
         // The list says who may read; the order inside it puts the own area first while that is not crowded.
         let close: Vec<&String> = rows.iter().copied().filter(near).filter(|s| self.pools.load(s) < 0.75).collect();
@@ -339,8 +340,8 @@
         let chosen = if in_list(&close) { self.choose(gate, key, &close) } else { None };
         match chosen.or_else(|| self.choose(gate, key, &fit(&rows, &basis))) {
             Some(t) => Order::Send(t),
-            None if gate.fall => at_lead(Kind::NoServer),
-            None => Order::Return(Kind::NoServer),
+            None if gate.fall => at_lead(ErrorKind::NoServer),
+            None => Order::Return(ErrorKind::NoServer),
         }
     }
 
@@ -354,21 +355,21 @@
                 let stands = grant.is_some_and(|l| l.line == line && l.server == target.server && now < l.until);
                 stands || self.disabled.no_fence
             }
-            Basis::Head { asked, .. } => now <= asked + self.bounds.fresh(),
+            Basis::Head { asked, .. } => now <= asked + self.bounds.freshness_bound(),
             Basis::Seen { .. } => true,
         }
     }
 
     /// Whether the answer's own signs bear out what the send rests on: a server that came back without part of its
     /// log, or no longer leads, shows it.
-    pub fn borne_out(&self, target: &Target, signs: &Signs) -> bool {
+    pub fn borne_out(&self, target: &Target, signs: &ResponseMetadata) -> bool {
         if self.disabled.grow {
             return true;
         }
-        let held = |want: Position| signs.place.is_none_or(|p| p.line >= want.line && p.index >= want.index);
+        let held = |want: Position| signs.position.is_none_or(|p| p.epoch >= want.epoch && p.index >= want.index);
         match target.basis {
             Basis::Leader { line } => {
-                let leads = signs.leads && signs.place.is_some_and(|p| p.line == line);
+                let leads = signs.is_primary && signs.position.is_some_and(|p| p.epoch == line);
                 leads && self.gauges.counts(&target.server)
             }
             Basis::Head { head, .. } => held(head),
@@ -395,7 +396,7 @@
         let others: Vec<&String> = g.servers.iter().filter(|s| **s != target.server).collect();
         let held = |s: &&String| {
             let x = self.gauges.sight(s);
-            x.place.line == place.line && x.place.index >= place.index && self.gauges.counts(s)
+            x.place.epoch == place.epoch && x.place.index >= place.index && self.gauges.counts(s)
         };
         if others.iter().any(held) {
             return true;
--- a/spoke/src/door/mod.rs
+++ b/spoke/src/door/mod.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use base::{
-    Kind,
-    edge::refuse,
-    http::{Ask, Return, Session},
-    seam::Local,
+    ErrorKind,
+    edge::error_response,
+    http::{HttpRequest, HttpResponse, RequestHandler},
+    runtime::LocalFuture,
 };
 use wire::relay::Relay;
 
@@ -23,25 +23,25 @@
     pub show: Rc<StatusPages>,
 }
 
-impl Session for Guest {
-    fn call(&self, ask: Ask) -> Local<Return> {
+impl RequestHandler for Guest {
+    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let path = ask.path.split('?').next().unwrap_or("");
         if path.starts_with("/db/") {
-            return self.caller.call(ask);
+            return self.caller.handle(ask);
         }
         if ask.method == hyper::Method::GET
             && let Some(out) = self.show.page(path)
         {
             return Box::pin(async move { out });
         }
-        if !matches!(ask.parts()[..], ["ops", ..] | ["report"]) {
-            return Box::pin(async { refuse(Kind::NoPath, "", None) });
+        if !matches!(ask.path_segments()[..], ["ops", ..] | ["report"]) {
+            return Box::pin(async { error_response(ErrorKind::NoPath, "", None) });
         }
         let relay = self.relay.clone();
-        Box::pin(async move { relay.pass(ask).await })
+        Box::pin(async move { relay.forward(ask).await })
     }
 
-    fn free(&self) -> bool {
-        self.caller.free()
+    fn can_close(&self) -> bool {
+        self.caller.can_close()
     }
 }
--- a/spoke/src/door/show.rs
+++ b/spoke/src/door/show.rs
@@ -1,6 +1,6 @@
 use std::{rc::Rc, time::Duration};
 
-use base::{http::Return, loop_lag::LoopLag, metrics, strict};
+use base::{http::HttpResponse, loop_lag::LoopLag, metrics, strict};
 use nanoserde::SerJson;
 use wire::relay::Relay;
 
@@ -119,8 +119,8 @@
     pub lag: Rc<LoopLag>,
 }
 
-fn json(out: &impl SerJson) -> Return {
-    Return::new(200, out.serialize_json()).with("content-type", "application/json")
+fn json(out: &impl SerJson) -> HttpResponse {
+    HttpResponse::new(200, out.serialize_json()).with_header("content-type", "application/json")
 }
 
 fn ms(d: Duration) -> u64 {
@@ -129,7 +129,7 @@
 
 impl StatusPages {
     /// The page of a path, if it is one of this node's own.
-    pub fn page(&self, path: &str) -> Option<Return> {
+    pub fn page(&self, path: &str) -> Option<HttpResponse> {
         match path {
             "/status" => Some(json(&self.status())),
             "/metrics" => Some(self.metrics()),
@@ -150,8 +150,8 @@
             sessions: t.sessions.get(),
             evaluations: self.works.gauges.runs.get(),
             readings: self.works.gauges.reads.get(),
-            corrupt: self.relay.corrupt.get(),
-            relayed: self.relay.handed.get(),
+            corrupt: self.relay.corrupt_frames.get(),
+            relayed: self.relay.forwarded_frames.get(),
         }
     }
 
@@ -159,7 +159,7 @@
         let now = self.works.env.now();
         let admit = self.works.decider.admit();
         let view = self.works.journal.view();
-        let (parent, depth) = self.relay.place();
+        let (parent, depth) = self.relay.tree_position();
         let leads = view.leads.iter().map(|(g, l)| LeadRow {
             group: g.clone(),
             server: l.server.clone(),
@@ -183,13 +183,13 @@
             }
         });
         Status {
-            name: self.relay.who.name.clone(),
-            area: self.relay.who.area.clone(),
+            name: self.relay.identity.name.clone(),
+            area: self.relay.identity.zone.clone(),
             serving: admit.is_ok(),
             why: admit.err().map(|k| k.to_string()).unwrap_or_default(),
             sequence: view.image.as_ref().map_or(0, |i| i.sequence),
             confirmed_ms: view.confirmed.map(|c| ms(now.saturating_sub(c))),
-            fed: self.relay.fed(),
+            fed: self.relay.reaches_leader(),
             parent,
             depth: u64::from(depth),
             children: self.relay.children(),
@@ -200,9 +200,9 @@
         }
     }
 
-    fn metrics(&self) -> Return {
+    fn metrics(&self) -> HttpResponse {
         let c = self.counts();
-        let news = &self.relay.news_counts;
+        let news = &self.relay.snapshot_counters;
         let mut out = metrics::page(&[
             ("reads_total", "counter", "reads asked for", c.reads),
             ("writes_total", "counter", "writes asked for outside transactions", c.writes),
@@ -229,7 +229,7 @@
                 "parent_searches_failed_total",
                 "counter",
                 "searches for a parent without one",
-                self.relay.search_counts.failed.get(),
+                self.relay.search_counters.failed.get(),
             ),
             (
                 "servers_without_share",
@@ -247,14 +247,14 @@
             ("used", "connections in use"),
             ("waiting", "requests that wait for one"),
         ] {
-            text.push_str(&metrics::head(&format!("connections_{what}"), "gauge", help));
+            text.push_str(&metrics::header_lines(&format!("connections_{what}"), "gauge", help));
         }
         for (name, p) in self.works.pools.all() {
             for (what, n) in [("share", p.limit()), ("open", p.open()), ("used", p.used()), ("waiting", p.waiting())] {
                 text.push_str(&format!("portspoke_connections_{what}{{server=\"{name}\"}} {n}\n"));
             }
         }
-        text.push_str(&metrics::head(
+        text.push_str(&metrics::header_lines(
             "kept_entries",
             "gauge",
             "entries kept under the names of servers, groups and doorways",
@@ -306,10 +306,10 @@
         let (name, kind) = name.split_once('/').unwrap_or((name, "*"));
         let lists = self.works.gauges.lists.borrow();
         let Some(list) = lists.get(&(name.to_string(), kind.to_string())) else { return Vec::new() };
-        let verdict = |v: &pick::Verdict| VerdictRow {
+        let verdict = |v: &pick::ServerDecision| VerdictRow {
             server: v.name.clone(),
             eligible: v.eligible,
-            why: v.why.word().into(),
+            why: v.reason.as_str().into(),
             error_rate: v.metrics.error_rate,
             errors_total: v.metrics.errors_total,
             requests_total: v.metrics.requests_total,
@@ -324,8 +324,8 @@
             .rev()
             .map(|d| DecisionRow {
                 ago_ms: ms(now.saturating_sub(d.at)),
-                fault: d.fault.clone(),
-                servers: d.rows.iter().map(verdict).collect(),
+                fault: d.error.clone(),
+                servers: d.servers.iter().map(verdict).collect(),
             })
             .collect()
     }
--- a/spoke/src/gauge/mod.rs
+++ b/spoke/src/gauge/mod.rs
@@ -12,12 +12,12 @@
 
 use base::{
     Bounds,
-    bell::Bell,
-    seam::{Env, Part},
+    notify::Notify,
+    position::Position,
+    runtime::{Component, Env},
     settings::PolicySettings,
-    words::Position,
 };
-use pick::{Outcome, Standing, Weights, Window};
+use pick::{EligibleSet, Outcome, Weights, Window};
 use wire::Image;
 
 use crate::view::Journal;
@@ -62,7 +62,7 @@
 #[derive(Default)]
 pub struct List {
     pub windows: BTreeMap<String, Window>,
-    pub standing: Standing,
+    pub standing: EligibleSet,
     pub weights: Weights,
     /// Real statements that excluded servers may still be given in this cycle.
     pub samples: BTreeMap<String, u64>,
@@ -77,14 +77,14 @@
     pub bounds: RefCell<Bounds>,
     pub policy: RefCell<PolicySettings>,
     /// Rung when the policy was changed.
-    pub changed: Bell,
+    pub changed: Notify,
     pub sights: RefCell<BTreeMap<String, Sight>>,
     pub lists: RefCell<BTreeMap<Key, List>>,
     heads: RefCell<BTreeMap<String, VecDeque<(Duration, Position)>>>,
     /// Rung when a position was read.
-    pub moved: Bell,
+    pub moved: Notify,
     /// Rung when someone waits for a position.
-    pub wanted: Bell,
+    pub wanted: Notify,
     /// Evaluations so far, all lists together.
     pub runs: Cell<u64>,
     /// Test switch: places never go back.
@@ -95,7 +95,7 @@
 
 /// How far a place is behind a head. On an older line only what lay before the newest election is common to both.
 fn lag(head: Position, place: Position, from: Position) -> u64 {
-    let common = if place.line < head.line { place.index.min(from.index) } else { place.index };
+    let common = if place.epoch < head.epoch { place.index.min(from.index) } else { place.index };
     head.index.saturating_sub(common)
 }
 
@@ -110,12 +110,12 @@
             journal,
             bounds: RefCell::new(bounds),
             policy: RefCell::new(policy),
-            changed: Bell::default(),
+            changed: Notify::default(),
             sights: RefCell::default(),
             lists: RefCell::default(),
             heads: RefCell::default(),
-            moved: Bell::default(),
-            wanted: Bell::default(),
+            moved: Notify::default(),
+            wanted: Notify::default(),
             runs: Cell::default(),
             reads: Cell::default(),
             grow,
@@ -145,9 +145,9 @@
         let keys: Vec<Key> = {
             let view = self.journal.view();
             let Some(image) = &view.image else { return };
-            let Some(group) = image.home(server) else { return };
+            let Some(group) = image.group_of(server) else { return };
             let lists = self.lists.borrow();
-            let names = image.doorways.iter().filter(|d| d.group == group.name).map(|d| &d.name);
+            let names = image.routes.iter().filter(|d| d.group == group.name).map(|d| &d.name);
             let of_name = |name: &String| {
                 let first = (name.clone(), String::new());
                 lists.range(first..).map(|(key, _)| key).take_while(|key| key.0 == *name).cloned().collect::<Vec<_>>()
@@ -165,10 +165,10 @@
         let (group, lead, turn, elect) = {
             let view = self.journal.view();
             let Some(image) = &view.image else { return };
-            let Some(g) = image.home(server) else { return };
+            let Some(g) = image.group_of(server) else { return };
             let lead = view.leads.get(&g.name).filter(|l| l.server == server && now < l.until).cloned();
-            let turn = image.log(server).map_or(0, |l| l.turn);
-            let elect = image.elect(&g.name).map(|e| (e.line, e.from())).unwrap_or_default();
+            let turn = image.log(server).map_or(0, |l| l.admission);
+            let elect = image.election(&g.name).map(|e| (e.epoch, e.start_position())).unwrap_or_default();
             (g.name.clone(), lead, turn, elect)
         };
         let known = self.heads.borrow().get(&group).and_then(|h| h.iter().rev().find(|x| x.0 <= asked).copied());
@@ -178,12 +178,12 @@
             // Only an answer asked for after the newest one came can show that the log lost something.
             let later = s.at.is_none_or(|t| asked >= t);
             let other = s.log != log && s.log != 0;
-            if later && !self.grow && (other || s.place.lost(place, elect.0, elect.1)) {
-                self.env.log(Part::Pool, format!("{server} went back to {place} in its log"));
+            if later && !self.grow && (other || s.place.has_lost_entries(place, elect.0, elect.1)) {
+                self.env.log(Component::Pool, format!("{server} went back to {place} in its log"));
                 s.back = Some(turn);
                 s.place = place;
                 s.reach = Position::default();
-            } else if later && place.line >= s.place.line && !self.grow {
+            } else if later && place.epoch >= s.place.epoch && !self.grow {
                 s.place = place;
             } else {
                 s.place = s.place.max(place);
@@ -199,10 +199,10 @@
             }
         }
         // A leader whose log lost something tells of no head.
-        if lead.is_some_and(|l| l.line == place.line) && (self.counts(server) || self.grow) {
+        if lead.is_some_and(|l| l.line == place.epoch) && (self.counts(server) || self.grow) {
             self.note_head(group, asked, place);
         }
-        self.moved.ring();
+        self.moved.notify_waiters();
     }
 
     /// A group's leader showed this place when asked at `asked`.
@@ -210,7 +210,7 @@
         let mut heads = self.heads.borrow_mut();
         let list = heads.entry(group).or_default();
         // One reading for each small step of time is enough to find a fresh one.
-        let step = self.bounds.borrow().sample() / 4;
+        let step = self.bounds.borrow().sampling_interval() / 4;
         if list.back().is_none_or(|b| asked >= b.0 + step) {
             list.push_back((asked, place));
             if list.len() > HEADS {
@@ -252,7 +252,7 @@
         let Some(place) = place else { return };
         let (group, leads, from) = {
             let view = self.journal.view();
-            let Some(g) = view.image.as_ref().and_then(|i| i.home(server)) else { return };
+            let Some(g) = view.image.as_ref().and_then(|i| i.group_of(server)) else { return };
             // A head is one that was read while no other's commit could be acknowledged.
             let lead = view.leads.get(&g.name).filter(|l| l.server == server && now < l.until && asked >= l.since);
             (g.name.clone(), lead.is_some(), Position::default())
@@ -260,17 +260,17 @@
         let known = self.heads.borrow().get(&group).and_then(|h| h.iter().rev().find(|x| x.0 <= asked).copied());
         if let (Some((_, head)), Some(s)) = (known, self.sights.borrow_mut().get_mut(server)) {
             s.lag =
-                if place.line < head.line { head.index.saturating_sub(place.index) } else { lag(head, place, from) };
+                if place.epoch < head.epoch { head.index.saturating_sub(place.index) } else { lag(head, place, from) };
         }
         if leads {
             self.note_head(group, asked, place);
         }
-        self.moved.ring();
+        self.moved.notify_waiters();
     }
 
     /// Forgets servers and groups that the newest image no longer names.
     fn forget(&self, image: &Image) {
-        self.sights.borrow_mut().retain(|server, _| image.root(server).is_some());
+        self.sights.borrow_mut().retain(|server, _| image.group_including_leaving(server).is_some());
         self.heads.borrow_mut().retain(|group, _| image.groups.iter().any(|g| g.name == *group));
     }
 
@@ -292,14 +292,14 @@
     /// How far a server is behind its group's head; one that shows nothing any more falls back as the head goes on.
     pub fn lag(&self, group: &str, server: &str) -> u64 {
         let s = self.sight(server);
-        let fresh = self.env.now().saturating_sub(self.bounds.borrow().sample() * 3);
+        let fresh = self.env.now().saturating_sub(self.bounds.borrow().sampling_interval() * 3);
         if s.at.is_some_and(|t| t > fresh) {
             return s.lag;
         }
         let heads = self.heads.borrow();
         let Some(head) = heads.get(group).and_then(|h| h.back()).map(|h| h.1) else { return s.lag };
         let view = self.journal.view();
-        let from = view.image.as_ref().and_then(|i| i.elect(group)).map(|e| e.from()).unwrap_or_default();
+        let from = view.image.as_ref().and_then(|i| i.election(group)).map(|e| e.start_position()).unwrap_or_default();
         s.lag.max(lag(head, s.place, from))
     }
 
@@ -308,12 +308,12 @@
         let s = self.sight(server);
         let view = self.journal.view();
         let entry = view.image.as_ref().and_then(|i| i.log(server));
-        entry.is_some_and(|l| !l.void && l.born == s.log && s.back.is_none_or(|t| l.turn > t))
+        entry.is_some_and(|l| !l.incomplete && l.log_id == s.log && s.back.is_none_or(|t| l.admission > t))
     }
 
     /// Whether a server shows a position, on its line or a later one.
     pub fn holds(&self, server: &str, place: Position) -> bool {
         let s = self.sights.borrow();
-        s.get(server).is_some_and(|s| s.place.line >= place.line && s.place.index >= place.index)
+        s.get(server).is_some_and(|s| s.place.epoch >= place.epoch && s.place.index >= place.index)
     }
 }
--- a/spoke/src/gauge/sample.rs
+++ b/spoke/src/gauge/sample.rs
@@ -1,11 +1,11 @@
 use std::{collections::BTreeMap, convert::Infallible, rc::Rc, time::Duration};
 
 use base::{
-    Kind,
+    ErrorKind,
     edge::backend,
-    seam::{Job, Part},
-    talk::{Act, Statement},
-    words::Position,
+    position::Position,
+    protocol::{Statement, StatementKind},
+    runtime::{Component, TaskGuard},
 };
 use bytes::Bytes;
 
@@ -18,9 +18,9 @@
 impl Gauges {
     /// Keeps one reading task for each server, in the standing list or not.
     pub async fn samples(self: Rc<Self>, pools: Rc<Pools>) -> Result<(), Infallible> {
-        let mut jobs: BTreeMap<String, (Rc<Pool>, Job)> = BTreeMap::new();
+        let mut jobs: BTreeMap<String, (Rc<Pool>, TaskGuard)> = BTreeMap::new();
         loop {
-            let seen = pools.bell.count();
+            let seen = pools.bell.generation();
             let all = pools.all();
             jobs.retain(|s, (p, _)| all.get(s).is_some_and(|q| Rc::ptr_eq(p, q)));
             for (s, p) in all {
@@ -29,7 +29,7 @@
                     (p, self.env.spawn(async move { me.sample(pool).await }))
                 });
             }
-            pools.bell.after(seen).await;
+            pools.bell.changed_since(seen).await;
         }
     }
 
@@ -37,11 +37,11 @@
     /// the freshness bound, the others a few times within the drain bound.
     async fn listen(&self, pool: Rc<Pool>) {
         let server = pool.server.clone();
-        let said = Statement::own(Act::Place);
+        let said = Statement::internal(StatementKind::Status);
         loop {
             let (span, rare) = {
                 let b = self.bounds.borrow();
-                (b.call(), b.missed())
+                (b.call_timeout(), b.server_missed_after())
             };
             self.env.sleep(if pool.reading_factor() > 1 { rare / 2 } else { rare / 8 }).await;
             let now = self.env.now();
@@ -72,7 +72,7 @@
         let had = pool.idle();
         let mut slot = match pool.get(start + span).await {
             Ok(s) => s,
-            Err(Kind::Full) => {
+            Err(ErrorKind::Overloaded) => {
                 self.answered(server, start, None);
                 return true;
             }
@@ -86,7 +86,7 @@
         match slot.say(said, None, asked + span).await {
             Ok(reply) => {
                 self.record_probe(server, true);
-                self.answered(server, asked, reply.place);
+                self.answered(server, asked, reply.position);
                 true
             }
             Err(_) if had > 0 && self.env.now() - asked < span / 4 => false,
@@ -103,8 +103,8 @@
         }
         let server = pool.server.clone();
         loop {
-            let step = self.bounds.borrow().sample();
-            let span = self.bounds.borrow().call();
+            let step = self.bounds.borrow().sampling_interval();
+            let span = self.bounds.borrow().call_timeout();
             let start = self.env.now();
             let slot = pool.get(start + span).await;
             let Ok(mut slot) = slot else {
@@ -119,25 +119,25 @@
                     slot.spoil();
                     break;
                 }
-                let seen = self.wanted.count();
+                let seen = self.wanted.generation();
                 let asked = self.env.now();
                 let reach = self.wants(&server);
                 let path = match reach {
-                    Some(p) => format!("{}?reach={p}", backend::PLACE),
-                    None => backend::PLACE.to_string(),
+                    Some(p) => format!("{}?reach={p}", backend::POSITION_PATH),
+                    None => backend::POSITION_PATH.to_string(),
                 };
                 self.reads.set(self.reads.get() + 1);
                 let Ok(out) = slot.call(&path, &[], Bytes::new(), asked + span).await else {
                     self.missed(&server, self.env.now() - asked < span / 4);
                     break;
                 };
-                let signs = backend::signs(&out);
-                let Some(place) = signs.place else {
+                let signs = backend::response_metadata(&out);
+                let Some(place) = signs.position else {
                     self.missed(&server, false);
                     break;
                 };
                 self.record_probe(&server, true);
-                self.placed(&server, asked, place, signs.log);
+                self.placed(&server, asked, place, signs.log_id);
                 self.journal.append(Event::Draining { server: server.clone(), draining: signs.draining });
                 self.rest(&server, seen, step).await;
             }
@@ -151,10 +151,10 @@
         let end = self.env.now() + step;
         while self.wants(server).is_none() {
             let left = end.saturating_sub(self.env.now());
-            if left.is_zero() || self.env.within(left, self.wanted.after(seen)).await.is_err() {
+            if left.is_zero() || self.env.timeout(left, self.wanted.changed_since(seen)).await.is_err() {
                 return;
             }
-            seen = self.wanted.count();
+            seen = self.wanted.generation();
         }
     }
 
@@ -171,10 +171,10 @@
         s.fails += 1;
         s.refused = if refused { s.refused + 1 } else { 0 };
         if s.fails == 3 {
-            self.env.log(Part::Pool, format!("{server} does not answer"));
+            self.env.log(Component::Pool, format!("{server} does not answer"));
         }
         drop(sights);
-        self.moved.ring();
+        self.moved.notify_waiters();
     }
 
     /// Asks a server's reading task to look for a commit.
@@ -187,6 +187,6 @@
             }
             s.reach = place;
         }
-        self.wanted.ring();
+        self.wanted.notify_waiters();
     }
 }
--- a/spoke/src/gauge/select.rs
+++ b/spoke/src/gauge/select.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeSet, convert::Infallible, rc::Rc, time::Duration};
 
-use base::seam::Part;
-use pick::{Candidate, Policy, tune};
+use base::runtime::Component;
+use pick::{Candidate, Policy, adjust_weights};
 
 use super::{Gauges, Key};
 
@@ -17,7 +17,7 @@
         let mut next = self.env.now();
         let mut resample = self.env.now();
         loop {
-            let seen = self.changed.count();
+            let seen = self.changed.generation();
             let now = self.env.now();
             let p = self.policy.borrow().clone();
             self.enlist();
@@ -41,8 +41,8 @@
             }
             // Weights move inside the list; they are tuned twelve times an interval.
             let step = Duration::from_millis(p.eval_interval_ms / 12).max(Duration::from_millis(10));
-            let _ = self.env.within(step.min(next.saturating_sub(now)), self.changed.after(seen)).await;
-            if self.changed.count() != seen {
+            let _ = self.env.timeout(step.min(next.saturating_sub(now)), self.changed.changed_since(seen)).await;
+            if self.changed.generation() != seen {
                 next = self.env.now();
                 continue;
             }
@@ -58,13 +58,13 @@
                 let Some(text) = self.evaluate(key, now) else { continue };
                 changed += 1;
                 if changed <= LISTS_LOGGED {
-                    self.env.log(Part::Pick, text);
+                    self.env.log(Component::Pick, text);
                 }
             }
             self.env.yield_now().await;
         }
         if changed > LISTS_LOGGED {
-            self.env.log(Part::Pick, format!("{} more lists changed", changed - LISTS_LOGGED));
+            self.env.log(Component::Pick, format!("{} more lists changed", changed - LISTS_LOGGED));
         }
     }
 
@@ -73,10 +73,10 @@
         let view = self.journal.view();
         let Some(image) = &view.image else { return };
         self.forget(image);
-        let names: BTreeSet<&str> = image.doorways.iter().map(|d| d.name.as_str()).collect();
+        let names: BTreeSet<&str> = image.routes.iter().map(|d| d.name.as_str()).collect();
         let mut lists = self.lists.borrow_mut();
         lists.retain(|key, _| names.contains(key.0.as_str()));
-        for d in &image.doorways {
+        for d in &image.routes {
             lists.entry((d.name.clone(), "*".into())).or_default();
         }
     }
@@ -127,7 +127,7 @@
         let mut lists = self.lists.borrow_mut();
         for l in lists.values_mut() {
             let Some(d) = l.standing.ring().last() else { continue };
-            l.samples = d.rows.iter().filter(|r| !r.eligible).map(|r| (r.name.clone(), count)).collect();
+            l.samples = d.servers.iter().filter(|r| !r.eligible).map(|r| (r.name.clone(), count)).collect();
         }
     }
 
@@ -147,7 +147,7 @@
             let Some(list) = lists.get_mut(&k) else { continue };
             let row = |c: &Candidate| view.servers.get(&c.name).map_or(0.0, |s| s.cold);
             let rows = rows.iter().map(|c| (c.name.as_str(), c.metrics, row(c)));
-            list.weights = tune(&list.weights, rows);
+            list.weights = adjust_weights(&list.weights, rows);
         }
     }
 }
--- a/spoke/src/on_platform.rs
+++ b/spoke/src/on_platform.rs
@@ -4,11 +4,11 @@
 
 use base::{
     Env,
-    http::{self, Door},
-    seam::Part,
-    settings::Place,
-    talk::Host,
-    tree::Tree,
+    http::{self, Endpoint},
+    protocol::SessionProvider,
+    runtime::Component,
+    settings::NodeConfig,
+    supervisor::Supervisor,
 };
 use platform::Given;
 
@@ -18,24 +18,29 @@
 pub struct PlatformSpoke {
     env: Env,
     pub spoke: Spoke,
-    door: Door,
+    door: Endpoint,
     grace: Duration,
-    _tree: Tree,
+    _tree: Supervisor,
 }
 
-async fn bind(env: &Env, addr: SocketAddr) -> io::Result<http::Slot> {
+async fn bind(env: &Env, addr: SocketAddr) -> io::Result<http::ListenerSlot> {
     let told = |e: io::Error| io::Error::new(e.kind(), format!("{addr}: {e}"));
     Ok(Rc::new(RefCell::new(Some(env.listen(addr).await.map_err(told)?))))
 }
 
 /// Wakes the door's sessions when this node can no longer do anything for them.
-async fn able(env: Env, door: Door, host: Rc<dyn Host>, step: Duration) -> Result<(), std::convert::Infallible> {
+async fn able(
+    env: Env,
+    door: Endpoint,
+    host: Rc<dyn SessionProvider>,
+    step: Duration,
+) -> Result<(), std::convert::Infallible> {
     let mut was = false;
     loop {
-        let is = host.ready();
+        let is = host.is_ready();
         if was && !is {
-            env.log(Part::Door, "nothing can be served here now; sessions that rest are closed");
-            door.bell.ring();
+            env.log(Component::Door, "nothing can be served here now; sessions that rest are closed");
+            door.state_changed.notify_waiters();
         }
         was = is;
         env.sleep(step).await;
@@ -44,16 +49,16 @@
 
 impl PlatformSpoke {
     /// Starts it; it runs for as long as the returned value lives.
-    pub async fn start(env: &Env, given: &Given, place: &Place, disabled: DisabledGuards) -> io::Result<Self> {
+    pub async fn start(env: &Env, given: &Given, place: &NodeConfig, disabled: DisabledGuards) -> io::Result<Self> {
         let spoke = run_in(env, place, disabled, Some(platform::Speech::shared())).await?;
         let host = spoke.host();
-        let door = Door::new(place.most_sessions, place.most_body);
-        let probe = Door::new(64, 1 << 10);
-        let mut tree = Tree::new(env);
+        let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
+        let probe = Endpoint::new(64, 1 << 10);
+        let mut tree = Supervisor::new(env);
         if let Some(addr) = given.access {
             let sock = bind(env, addr).await?;
             let (e, d, h) = (env.clone(), door.clone(), host.clone());
-            let step = place.bounds.pulse();
+            let step = place.bounds.control_heartbeat();
             tree.child("able", move || able(e.clone(), d.clone(), h.clone(), step));
             let (e, d, h) = (env.clone(), door.clone(), host.clone());
             tree.child("access", move || platform::serve(e.clone(), sock.clone(), d.clone(), h.clone()));
@@ -62,8 +67,8 @@
             let sock = bind(env, addr).await?;
             let leaving = door.clone();
             let make = Rc::new(move || {
-                let leaving = leaving.leaving.clone();
-                Rc::new(platform::Probe { host: host.clone(), leaving }) as Rc<dyn http::Session>
+                let leaving = leaving.draining.clone();
+                Rc::new(platform::Probe { host: host.clone(), leaving }) as Rc<dyn http::RequestHandler>
             });
             let (e, p) = (env.clone(), probe.clone());
             tree.child("ready", move || http::serve(e.clone(), sock.clone(), p.clone(), make.clone()));
@@ -77,21 +82,21 @@
     /// told so.
     pub async fn leave(&self) {
         let start = self.env.now();
-        self.door.leaving.set(true);
+        self.door.draining.set(true);
         self.env.sleep(self.grace * 5 / 12).await;
-        self.door.end();
+        self.door.close_idle();
         self.until_closed(start + self.grace / 2).await;
-        self.door.expire();
+        self.door.close_transactions();
         self.until_closed(start + self.grace * 10 / 12).await;
-        self.door.give_up();
+        self.door.abort_statements();
         self.until_closed(self.env.now() + self.grace / 24).await;
-        self.env.log(Part::Main, format!("{} sessions left open at the end", self.door.open.get()));
+        self.env.log(Component::Main, format!("{} sessions left open at the end", self.door.open_connections.get()));
         self.spoke.hand_back().await;
     }
 
     /// Waits until no session is open, or until this moment.
     async fn until_closed(&self, end: Duration) {
-        while self.door.open.get() > 0 && self.env.now() < end {
+        while self.door.open_connections.get() > 0 && self.env.now() < end {
             self.env.sleep(self.grace / 120).await;
         }
     }
--- a/spoke/src/pool/mod.rs
+++ b/spoke/src/pool/mod.rs
@@ -11,10 +11,10 @@
 };
 
 use base::{
-    Kind,
+    ErrorKind,
     http::Client,
-    seam::Env,
-    talk::{Line, ServerProtocol},
+    protocol::{ServerConnection, ServerProtocol},
+    runtime::Env,
 };
 use futures::channel::oneshot;
 
@@ -38,14 +38,14 @@
 
 enum Link {
     Http(Client),
-    Talk(Box<dyn Line>, AppliedState),
+    Talk(Box<dyn ServerConnection>, AppliedState),
 }
 
 impl Link {
     fn open(&mut self) -> bool {
         match self {
-            Link::Http(c) => c.open(),
-            Link::Talk(l, _) => l.open(),
+            Link::Http(c) => c.is_open(),
+            Link::Talk(l, _) => l.is_open(),
         }
     }
 }
@@ -212,7 +212,7 @@
     }
 
     /// Waits in turn for a connection, until `due` at the latest.
-    pub async fn get(self: &Rc<Self>, due: Duration) -> Result<Slot, Kind> {
+    pub async fn get(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
         loop {
             let mut slot = self.turn(due).await?;
             let Err(kind) = slot.connect(due).await else { return Ok(slot) };
@@ -230,19 +230,19 @@
         self.env.now() < self.shy.get() && self.open.get() > 0
     }
 
-    async fn turn(self: &Rc<Self>, due: Duration) -> Result<Slot, Kind> {
+    async fn turn(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
         loop {
             let end = if self.shies() { due.min(self.shy.get()) } else { due };
             match self.wait_turn(end).await {
-                Err(Kind::Due) if end < due => {}
+                Err(ErrorKind::DeadlineExceeded) if end < due => {}
                 out => return out,
             }
         }
     }
 
-    async fn wait_turn(self: &Rc<Self>, due: Duration) -> Result<Slot, Kind> {
+    async fn wait_turn(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
         if self.limit.get() == 0 {
-            return Err(Kind::NoServer);
+            return Err(ErrorKind::NoServer);
         }
         loop {
             let Some(mut c) = self.idle.borrow_mut().pop() else { break };
@@ -257,15 +257,15 @@
         }
         if self.inbox.borrow().len() >= self.most {
             self.full.set(self.full.get() + 1);
-            return Err(Kind::Full);
+            return Err(ErrorKind::Overloaded);
         }
         let (give, wait) = oneshot::channel();
         self.inbox.borrow_mut().push_back(give);
         let span = due.saturating_sub(self.env.now());
-        match self.env.within(span, wait).await {
+        match self.env.timeout(span, wait).await {
             Ok(Ok(slot)) => Ok(slot),
-            Ok(Err(_)) => Err(Kind::NoServer),
-            Err(_) => Err(Kind::Due),
+            Ok(Err(_)) => Err(ErrorKind::NoServer),
+            Err(_) => Err(ErrorKind::DeadlineExceeded),
         }
     }
 
--- a/spoke/src/pool/slot.rs
+++ b/spoke/src/pool/slot.rs
@@ -1,11 +1,11 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use base::{
-    Kind,
-    edge::{backend, caller::Verb},
-    http::{Client, Fault, Return},
-    talk::{Act, Reply, Statement, Verdict},
-    words::Position,
+    ErrorKind,
+    edge::{backend, client::Verb},
+    http::{CallError, Client, HttpResponse},
+    position::Position,
+    protocol::{ServerOutcome, ServerReply, Statement, StatementKind},
 };
 use bytes::Bytes;
 
@@ -36,7 +36,7 @@
         &self.pool.server
     }
 
-    pub(super) async fn connect(&mut self, due: Duration) -> Result<(), Kind> {
+    pub(super) async fn connect(&mut self, due: Duration) -> Result<(), ErrorKind> {
         if self.conn.is_some() {
             return Ok(());
         }
@@ -46,7 +46,7 @@
             if self.pool.trying.get().is_none() {
                 self.pool.trying.set(Some(self.pool.env.now()));
             }
-            return match self.pool.env.within(span.min(self.pool.dial), line).await {
+            return match self.pool.env.timeout(span.min(self.pool.dial), line).await {
                 Ok(Ok(line)) => {
                     self.pool.trying.set(None);
                     self.pool.opened.set(self.pool.opened.get() + 1);
@@ -58,11 +58,11 @@
                     Ok(())
                 }
                 // One that is there and takes no session lives, and is full.
-                Ok(Err(Fault::Unsure)) => {
+                Ok(Err(CallError::OutcomeUnknown)) => {
                     self.pool.trying.set(None);
-                    Err(Kind::Full)
+                    Err(ErrorKind::Overloaded)
                 }
-                _ => Err(Kind::NoServer),
+                _ => Err(ErrorKind::NoServer),
             };
         }
         match Client::connect(&self.pool.env, self.pool.addr, span, MOST).await {
@@ -71,7 +71,7 @@
                 self.conn = Some(Conn { line: Link::Http(line), dress: None, resting_since: Duration::ZERO });
                 Ok(())
             }
-            Err(_) => Err(Kind::NoServer),
+            Err(_) => Err(ErrorKind::NoServer),
         }
     }
 
@@ -87,10 +87,10 @@
         head: &[(&str, String)],
         body: Bytes,
         due: Duration,
-    ) -> Result<Return, Fault> {
+    ) -> Result<HttpResponse, CallError> {
         let span = due.saturating_sub(self.pool.env.now());
-        let Some(Conn { line: Link::Http(line), .. }) = &mut self.conn else { return Err(Fault::Unsent) };
-        let method = if path.starts_with(backend::PLACE) { "GET" } else { "POST" };
+        let Some(Conn { line: Link::Http(line), .. }) = &mut self.conn else { return Err(CallError::NotSent) };
+        let method = if path.starts_with(backend::POSITION_PATH) { "GET" } else { "POST" };
         // Spoilt until answered: a task dropped half-way leaves a connection in an unknown state.
         let was = std::mem::replace(&mut self.spoilt, true);
         let out = line.call(method, path, head, body, span).await?;
@@ -99,11 +99,17 @@
     }
 
     /// Says one statement in the users' manner; without a whole answer the connection is never used again.
-    pub async fn say(&mut self, said: &Statement, after: Option<Position>, due: Duration) -> Result<Reply, Fault> {
+    pub async fn say(
+        &mut self,
+        said: &Statement,
+        after: Option<Position>,
+        due: Duration,
+    ) -> Result<ServerReply, CallError> {
         let span = due.saturating_sub(self.pool.env.now());
-        let Some(Conn { line: Link::Talk(line, _), .. }) = &mut self.conn else { return Err(Fault::Unsent) };
+        let Some(Conn { line: Link::Talk(line, _), .. }) = &mut self.conn else { return Err(CallError::NotSent) };
         let was = std::mem::replace(&mut self.spoilt, true);
-        let out = self.pool.env.within(span, line.say(said, after)).await.map_err(|_| Fault::Unsure)??;
+        let out =
+            self.pool.env.timeout(span, line.execute(said, after)).await.map_err(|_| CallError::OutcomeUnknown)??;
         self.spoilt = was;
         Ok(out)
     }
@@ -116,13 +122,13 @@
     }
 
     /// A statement of the product's own that has to be done before the caller's can be.
-    async fn ready(&mut self, act: Act, name: &str, text: &str, due: Duration) -> Result<(), Fault> {
-        let said = Statement { name: name.into(), text: text.into(), ..Statement::own(act) };
-        match self.say(&said, None, due).await?.verdict {
-            Verdict::Done(_) => Ok(()),
+    async fn ready(&mut self, act: StatementKind, name: &str, text: &str, due: Duration) -> Result<(), CallError> {
+        let said = Statement { name: name.into(), text: text.into(), ..Statement::internal(act) };
+        match self.say(&said, None, due).await?.outcome {
+            ServerOutcome::Done(_) => Ok(()),
             _ => {
                 self.spoil();
-                Err(Fault::Unsent)
+                Err(CallError::NotSent)
             }
         }
     }
@@ -134,27 +140,27 @@
         values: &BTreeMap<String, String>,
         prepared: Option<(&str, bool)>,
         due: Duration,
-    ) -> Result<String, Fault> {
-        let Some(worn) = self.worn() else { return Err(Fault::Unsent) };
+    ) -> Result<String, CallError> {
+        let Some(worn) = self.worn() else { return Err(CallError::NotSent) };
         if worn.values.keys().any(|k| !values.contains_key(k)) || worn.names.len() > NAMES {
             *worn = AppliedState::default();
-            self.ready(Act::Wipe, "", "", due).await?;
+            self.ready(StatementKind::ResetSession, "", "", due).await?;
         }
         for (k, v) in values {
             if self.worn().is_some_and(|w| w.values.get(k) != Some(v)) {
-                self.ready(Act::Set, k, v, due).await?;
+                self.ready(StatementKind::Set, k, v, due).await?;
                 if let Some(w) = self.worn() {
                     w.values.insert(k.clone(), v.clone());
                 }
             }
         }
         let Some((text, writes)) = prepared else { return Ok(String::new()) };
-        let Some(worn) = self.worn() else { return Err(Fault::Unsent) };
+        let Some(worn) = self.worn() else { return Err(CallError::NotSent) };
         if let Some(n) = worn.names.get(text) {
             return Ok(n.clone());
         }
         let name = format!("n{}", worn.names.len());
-        self.ready(Act::Prepare { writes }, &name, text, due).await?;
+        self.ready(StatementKind::Prepare { writes }, &name, text, due).await?;
         if let Some(w) = self.worn() {
             w.names.insert(text.into(), name.clone());
         }
@@ -162,16 +168,16 @@
     }
 
     /// Makes the connection wear exactly this session's state: wiped of any other, replayed where missing.
-    pub async fn dress(&mut self, want: &StateOwner, state: &[(Verb, Bytes)], due: Duration) -> Result<(), Fault> {
+    pub async fn dress(&mut self, want: &StateOwner, state: &[(Verb, Bytes)], due: Duration) -> Result<(), CallError> {
         let has = self.conn.as_ref().and_then(|c| c.dress.clone());
         let from = match &has {
             None => 0,
             Some(h) if h.session == want.session && h.name == want.name && h.count <= want.count => h.count,
             Some(_) => {
-                let out = self.call(backend::RESET, &[], Bytes::new(), due).await?;
-                if out.code >= 300 {
+                let out = self.call(backend::RESET_PATH, &[], Bytes::new(), due).await?;
+                if out.status >= 300 {
                     self.spoil();
-                    return Err(Fault::Unsent);
+                    return Err(CallError::NotSent);
                 }
                 0
             }
@@ -180,10 +186,10 @@
             c.dress = None;
         }
         for (verb, body) in &state[from..] {
-            let out = self.call(backend::path(*verb), &[], body.clone(), due).await;
-            if !matches!(&out, Ok(o) if o.code < 300) {
+            let out = self.call(backend::statement_path(*verb), &[], body.clone(), due).await;
+            if !matches!(&out, Ok(o) if o.status < 300) {
                 self.spoil();
-                return Err(Fault::Unsent);
+                return Err(CallError::NotSent);
             }
         }
         if let Some(c) = &mut self.conn {
--- a/spoke/src/run.rs
+++ b/spoke/src/run.rs
@@ -9,17 +9,18 @@
 };
 
 use base::{
-    bell::Bell,
-    http::{self, Door, Session},
+    http::{self, Endpoint, RequestHandler},
     loop_lag::LoopLag,
-    seam::{Env, Part},
-    settings::{Place, PolicySettings},
-    talk::{Host, ServerProtocol},
-    tree::Tree,
+    notify::Notify,
+    protocol::{ServerProtocol, SessionProvider},
+    runtime::{Component, Env},
+    settings::{NodeConfig, PolicySettings},
+    supervisor::Supervisor,
 };
 use wire::{
-    Ask, AskReturn, Beat, BeatReturn, Body, Held, Hello, Lead, Out, Sight, Snapshot,
-    relay::{Head, Relay, Who},
+    Body, ForwardedRequest, ForwardedResponse, HeldShare, Hello, LinkWriter, NodeHeartbeat, NodeHeartbeatAck,
+    PrimaryLeaseGrant, ServerObservation, Snapshot,
+    relay::{NodeIdentity, Relay, RelayHandler},
 };
 
 use crate::{
@@ -83,7 +84,7 @@
     /// How many servers this node had no share of when last looked at.
     noted_without_share: Cell<usize>,
     /// Rung when a pool came or went.
-    pub bell: Bell,
+    pub bell: Notify,
 }
 
 impl Pools {
@@ -104,7 +105,7 @@
             disabled,
             noted_without_share: Cell::default(),
             map: RefCell::default(),
-            bell: Bell::default(),
+            bell: Notify::default(),
         })
     }
 
@@ -137,9 +138,9 @@
     /// Follows the view: a pool for each server, each within its share while that stands.
     async fn follow(self: Rc<Self>, journal: Rc<Journal>, step: Duration) -> Result<(), Infallible> {
         loop {
-            let seen = journal.bell.count();
+            let seen = journal.bell.generation();
             self.settle(&journal);
-            let _ = self.env.within(step, journal.bell.after(seen)).await;
+            let _ = self.env.timeout(step, journal.bell.changed_since(seen)).await;
         }
     }
 
@@ -152,7 +153,7 @@
     fn note_shares(&self) {
         let (without, all) = (self.without_share(), self.map.borrow().len());
         if (without > 0) != (self.noted_without_share.get() > 0) {
-            self.env.log(Part::Pool, format!("no share of {without} of {all} servers"));
+            self.env.log(Component::Pool, format!("no share of {without} of {all} servers"));
         }
         self.noted_without_share.set(without);
     }
@@ -163,7 +164,7 @@
         {
             let view = journal.view();
             let mut map = self.map.borrow_mut();
-            let allowed = |s: &str| view.image.as_ref().is_some_and(|i| i.home(s).is_some());
+            let allowed = |s: &str| view.image.as_ref().is_some_and(|i| i.group_of(s).is_some());
             map.retain(|name, pool| {
                 let at = view.servers.get(name).map(|s| s.addr.as_str());
                 let keep = allowed(name) && at == Some(&pool.addr.to_string());
@@ -176,7 +177,7 @@
             for (name, s) in view.servers.iter().filter(|(n, _)| allowed(n)) {
                 let Ok(addr) = s.addr.parse() else { continue };
                 if !map.contains_key(name) {
-                    let home = view.image.as_ref().and_then(|i| i.home(name)).filter(|g| g.confirms);
+                    let home = view.image.as_ref().and_then(|i| i.group_of(name)).filter(|g| g.confirms);
                     let speech = match (home, &self.manner) {
                         (Some(g), Some(m)) => Some((m.clone(), g.name.clone())),
                         (Some(_), None) => continue,
@@ -203,7 +204,7 @@
         }
         self.note_shares();
         if moved {
-            self.bell.ring();
+            self.bell.notify_waiters();
         }
     }
 }
@@ -213,22 +214,22 @@
     journal: Rc<Journal>,
     gauges: Rc<Gauges>,
     pools: Rc<Pools>,
-    hurry: Bell,
+    hurry: Notify,
     /// After how long without an answer from a server that is read seldom this node tells nothing of it.
     rarely_asked: Duration,
 }
 
-impl Head for Node {
-    fn rooted(&self) -> bool {
+impl RelayHandler for Node {
+    fn is_leader(&self) -> bool {
         false
     }
 
-    fn beat(&self, beat: &mut Beat) {
+    fn fill_heartbeat(&self, beat: &mut NodeHeartbeat) {
         let now = self.env.now();
         let view = self.journal.view();
         for (name, pool) in self.pools.all() {
             let count = pool.limit().max(pool.open()) as u64;
-            beat.shares.push(Held { server: name.clone(), count, want: pool.want() as u64 });
+            beat.shares.push(HeldShare { server: name.clone(), count, want: pool.want() as u64 });
             if pool.limit() > 0 {
                 let x = self.gauges.sight(&name);
                 let silent = x.silent(pool.trying());
@@ -241,101 +242,113 @@
                     Some(_) => silent.map_or(0, |t| now.saturating_sub(t).as_millis() as u64),
                     None => x.at.map_or(u64::MAX / 2, |t| now.saturating_sub(t).as_millis() as u64),
                 };
-                beat.sights.push(Sight {
+                beat.observations.push(ServerObservation {
                     server: name,
                     age,
-                    line: x.place.line,
+                    epoch: x.place.epoch,
                     index: x.place.index,
                     refused: x.refused > 1,
-                    back: x.back.unwrap_or(0),
+                    lost_since_admission: x.back.unwrap_or(0),
                 });
             }
         }
         for (group, l) in view.leads.iter().filter(|(_, l)| now < l.until) {
-            beat.leads.push(Lead { group: group.clone(), server: l.server.clone(), line: l.line, span: 0 });
+            beat.primary_leases.push(PrimaryLeaseGrant {
+                group: group.clone(),
+                server: l.server.clone(),
+                epoch: l.line,
+                valid_ms: 0,
+            });
         }
     }
 
-    fn returned(&self, ret: BeatReturn, sent: Duration) {
+    fn on_ack(&self, ret: NodeHeartbeatAck, sent: Duration) {
         let before = self.journal.view().handed;
         self.journal.append(Event::Returned { ret, sent });
         if self.journal.view().handed != before {
             // The sooner the leading hub hears that the grant is handed back, the sooner it may elect.
-            self.hurry.ring();
+            self.hurry.notify_waiters();
         }
     }
 
-    fn news(&self, news: &Rc<Snapshot>) {
+    fn on_snapshot(&self, news: &Rc<Snapshot>) {
         self.journal.append(Event::News(news.clone()));
     }
 
-    fn beaten(&self, _beat: Beat) -> Option<BeatReturn> {
+    fn handle_heartbeat(&self, _beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         None
     }
 
-    fn asked(&self, _ask: Ask, _done: Box<dyn FnOnce(AskReturn)>) {}
+    fn handle_request(&self, _ask: ForwardedRequest, _done: Box<dyn FnOnce(ForwardedResponse)>) {}
 
-    fn other(&self, _from: &Hello, _body: Body, _out: &Out) {}
+    fn on_other_frame(&self, _from: &Hello, _body: Body, _out: &LinkWriter) {}
 }
 
 /// A running spoke.
 pub struct Spoke {
     env: Env,
     pub relay: Rc<Relay>,
-    pub door: Door,
+    pub door: Endpoint,
     gauges: Rc<Gauges>,
     works: Rc<WorkContext>,
     bounds: base::Bounds,
-    _tree: Tree,
+    _tree: Supervisor,
 }
 
 /// Starts a spoke; it runs for as long as the returned value lives.
-pub async fn run(env: &Env, place: &Place, disabled: DisabledGuards) -> std::io::Result<Spoke> {
+pub async fn run(env: &Env, place: &NodeConfig, disabled: DisabledGuards) -> std::io::Result<Spoke> {
     run_in(env, place, disabled, None).await
 }
 
 /// Starts a spoke that speaks to servers which confirm commits in the users' manner.
 pub async fn run_in(
     env: &Env,
-    place: &Place,
+    place: &NodeConfig,
     disabled: DisabledGuards,
     manner: Option<Rc<dyn ServerProtocol>>,
 ) -> std::io::Result<Spoke> {
-    let who = Who {
+    let who = NodeIdentity {
         name: place.name.clone(),
-        area: place.area.clone(),
-        hub: false,
+        zone: place.zone.clone(),
+        is_control_node: false,
         peer: place.peer,
         http: place.http,
         seeds: place.seeds.clone(),
-        boot: env.rand(),
+        boot_id: env.rand(),
     };
     let peer = env.listen(place.peer).await?;
-    let sock: http::Slot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
+    let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
     let bounds = place.bounds.clone();
     let journal = Journal::new(env);
-    let pools = Pools::new(env, place.most_inbox, bounds.call(), bounds.grant() / RESTING_PARTS, disabled, manner);
+    let pools = Pools::new(
+        env,
+        place.max_queued,
+        bounds.call_timeout(),
+        bounds.lease_duration() / RESTING_PARTS,
+        disabled,
+        manner,
+    );
     let gauges = Gauges::new(env, journal.clone(), bounds.clone(), place.policy.clone(), disabled.grow);
     let relay = Relay::new(env, who.clone(), bounds.clone());
-    relay.lead(Rc::new(Node {
+    relay.set_handler(Rc::new(Node {
         env: env.clone(),
         journal: journal.clone(),
         gauges: gauges.clone(),
         pools: pools.clone(),
-        hurry: relay.hurry.clone(),
-        rarely_asked: bounds.missed() * 2,
+        hurry: relay.urgent_heartbeat.clone(),
+        rarely_asked: bounds.server_missed_after() * 2,
     }));
-    let door = Door::new(place.most_sessions, place.most_body);
-    door.cut.set(disabled.cut_bodies);
+    let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
+    door.accept_truncated_bodies.set(disabled.cut_bodies);
     let decider = Decider {
         env: env.clone(),
         name: place.name.clone(),
-        area: place.area.clone(),
+        area: place.zone.clone(),
         journal: journal.clone(),
         gauges: gauges.clone(),
         pools: pools.clone(),
         bounds: bounds.clone(),
-        keep_on: place.keep_on,
+        keep_on: place.serve_in_evacuated_zone,
         disabled,
     };
     let works = Rc::new(WorkContext {
@@ -349,15 +362,15 @@
         sends: Default::default(),
     });
 
-    let mut tree = Tree::new(env);
-    relay.tend(&mut tree, peer);
-    let (p, j, step) = (pools.clone(), journal.clone(), bounds.pulse());
+    let mut tree = Supervisor::new(env);
+    relay.supervise(&mut tree, peer);
+    let (p, j, step) = (pools.clone(), journal.clone(), bounds.control_heartbeat());
     tree.child("pools", move || p.clone().follow(j.clone(), step));
     let (g, p) = (gauges.clone(), pools.clone());
     tree.child("samples", move || g.clone().samples(p.clone()));
     let g = gauges.clone();
     tree.child("evaluations", move || g.clone().evaluations());
-    let lag = LoopLag::new(env, bounds.pulse());
+    let lag = LoopLag::new(env, bounds.control_heartbeat());
     let l = lag.clone();
     tree.child("loop lag", move || l.clone().watch());
     let show = Rc::new(StatusPages { works: works.clone(), relay: relay.clone(), lag });
@@ -365,11 +378,11 @@
     tree.child("door", move || {
         let (w, r, s) = (w.clone(), r.clone(), show.clone());
         let make = Rc::new(move || {
-            Rc::new(Guest { caller: Caller::new(&w), relay: r.clone(), show: s.clone() }) as Rc<dyn Session>
+            Rc::new(Guest { caller: Caller::new(&w), relay: r.clone(), show: s.clone() }) as Rc<dyn RequestHandler>
         });
         http::serve(e.clone(), sock.clone(), d.clone(), make)
     });
-    env.log(Part::Main, format!("spoke {} in area {} serves {}", who.name, who.area, place.http));
+    env.log(Component::Main, format!("spoke {} in area {} serves {}", who.name, who.zone, place.http));
     Ok(Spoke { env: env.clone(), relay, door, gauges, works, bounds, _tree: tree })
 }
 
@@ -380,8 +393,8 @@
             return;
         }
         *self.gauges.policy.borrow_mut() = new.clone();
-        self.gauges.changed.ring();
-        self.env.log(Part::Pick, "the policy was changed");
+        self.gauges.changed.notify_waiters();
+        self.env.log(Component::Pick, "the policy was changed");
     }
 
     /// Lets what is in flight end, hands everything back, closes the doors.
@@ -389,32 +402,32 @@
         if !self.works.decider.disabled.no_linger {
             // Each answer now tells its caller to come back elsewhere; only those that stay idle are closed on.
             self.door.close();
-            let end = self.env.now() + self.bounds.leave();
+            let end = self.env.now() + self.bounds.evacuation_grace();
             self.wait(end).await;
-            self.door.end();
-            self.wait(end + self.bounds.statement()).await;
+            self.door.close_idle();
+            self.wait(end + self.bounds.statement_timeout()).await;
         }
         self.relay.leave();
-        self.env.sleep(self.bounds.pulse()).await;
-        self.env.log(Part::Main, format!("{} sessions left open at the end", self.door.open.get()));
+        self.env.sleep(self.bounds.control_heartbeat()).await;
+        self.env.log(Component::Main, format!("{} sessions left open at the end", self.door.open_connections.get()));
     }
 
     async fn wait(&self, end: Duration) {
-        while self.door.open.get() > 0 && self.env.now() < end {
-            self.env.sleep(self.bounds.pulse() / 4).await;
+        while self.door.open_connections.get() > 0 && self.env.now() < end {
+            self.env.sleep(self.bounds.control_heartbeat() / 4).await;
         }
     }
 
     /// Where a door in the users' manner opens its sessions.
-    pub fn host(&self) -> Rc<dyn Host> {
+    pub fn host(&self) -> Rc<dyn SessionProvider> {
         Rc::new(SessionOpener { works: self.works.clone() })
     }
 
     /// Hands everything back, once the doors of the users' manner are closed.
     pub async fn hand_back(&self) {
-        self.door.end();
+        self.door.close_idle();
         self.relay.leave();
-        self.env.sleep(self.bounds.pulse()).await;
+        self.env.sleep(self.bounds.control_heartbeat()).await;
     }
 
     /// How many sessions were ever opened.
--- a/spoke/src/talk/caller_session.rs
+++ b/spoke/src/talk/caller_session.rs
@@ -1,10 +1,12 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 use base::{
-    Kind,
-    seam::Local,
-    talk::{Act, Answer, DatabaseSession, Fail, Phase, Request, Statement},
-    words::Position,
+    ErrorKind,
+    position::Position,
+    protocol::{
+        DatabaseSession, Request, Statement, StatementError, StatementKind, StatementResponse, TransactionState,
+    },
+    runtime::LocalFuture,
 };
 
 use super::trans::Trans;
@@ -22,7 +24,7 @@
     pub names: BTreeMap<String, (bool, String)>,
     /// The newest position of the session's own commits.
     pub own: Position,
-    pub phase: Phase,
+    pub phase: TransactionState,
     /// The statement that opened the transaction.
     pub begun: Option<Statement>,
     pub trans: Option<Trans>,
@@ -46,21 +48,21 @@
 }
 
 impl DatabaseSession for CallerSession {
-    fn say(&self, said: Statement) -> Local<Answer> {
+    fn execute(&self, said: Statement) -> LocalFuture<StatementResponse> {
         let (works, session) = (self.works.clone(), self.session.clone());
         Box::pin(async move {
             session.borrow_mut().busy = true;
             let mut told = works.hear(&session, said).await;
             let mut s = session.borrow_mut();
             s.busy = false;
-            told.phase = s.phase;
+            told.transaction = s.phase;
             told
         })
     }
 
-    fn free(&self) -> bool {
+    fn can_close(&self) -> bool {
         let s = self.session.borrow();
-        s.phase == Phase::Idle && !s.busy
+        s.phase == TransactionState::Idle && !s.busy
     }
 }
 
@@ -74,69 +76,71 @@
 }
 
 /// An answer; the phase is filled in from the session.
-pub fn told(end: Result<String, Fail>, place: Option<Position>) -> Answer {
-    Answer { rows: Vec::new(), end, phase: Phase::Idle, place }
+pub fn told(end: Result<String, StatementError>, place: Option<Position>) -> StatementResponse {
+    StatementResponse { rows: Vec::new(), result: end, transaction: TransactionState::Idle, position: place }
 }
 
 /// An answer that needed no server.
-fn done() -> Answer {
+fn done() -> StatementResponse {
     told(Ok(String::new()), None)
 }
 
 impl WorkContext {
     /// Answers one statement of a session.
-    async fn hear(self: &Rc<Self>, session: &Rc<RefCell<SessionData>>, said: Statement) -> Answer {
+    async fn hear(self: &Rc<Self>, session: &Rc<RefCell<SessionData>>, said: Statement) -> StatementResponse {
         let phase = session.borrow().phase;
-        let out = |kind| told(Err(Fail::no(kind)), None);
-        if phase == Phase::Failed {
+        let out = |kind| told(Err(StatementError::not_committed(kind)), None);
+        if phase == TransactionState::Failed {
             let ended = std::mem::take(&mut session.borrow_mut().ended);
-            return match said.act {
-                Act::Rollback => self.end(session, Ok(())),
-                Act::Commit => self.end(session, Err(Fail::no(Kind::Lost))),
-                _ if ended => out(Kind::Lost),
-                _ => out(Kind::Order),
+            return match said.kind {
+                StatementKind::Rollback => self.end(session, Ok(())),
+                StatementKind::Commit => {
+                    self.end(session, Err(StatementError::not_committed(ErrorKind::TransactionLost)))
+                }
+                _ if ended => out(ErrorKind::TransactionLost),
+                _ => out(ErrorKind::OutOfOrder),
             };
         }
-        match said.act {
-            Act::Set | Act::Prepare { .. } | Act::Drop => {
+        match said.kind {
+            StatementKind::Set | StatementKind::Prepare { .. } | StatementKind::Deallocate => {
                 let out = session.borrow_mut().keep(&said);
                 match out {
                     Ok(()) => done(),
-                    Err(kind) => self.fail(session, Fail::no(kind)),
+                    Err(kind) => self.fail(session, StatementError::not_committed(kind)),
                 }
             }
-            Act::Begin { .. } if phase == Phase::Idle => {
+            StatementKind::Begin { .. } if phase == TransactionState::Idle => {
                 let mut s = session.borrow_mut();
-                s.phase = Phase::Open;
+                s.phase = TransactionState::Open;
                 s.begun = Some(said);
                 drop(s);
                 self.rest(session);
                 done()
             }
-            Act::Read | Act::Write | Act::Use => {
+            StatementKind::Read | StatementKind::Write | StatementKind::Execute => {
                 let writes = match session.borrow().writes(&said) {
                     Some(w) => w,
-                    None => return self.fail(session, Fail::no(Kind::NoName)),
+                    None => return self.fail(session, StatementError::not_committed(ErrorKind::UnknownPreparedName)),
                 };
-                if phase == Phase::Open {
+                if phase == TransactionState::Open {
                     return self.within_talk(session, &said, writes).await;
                 }
-                match Request::of(said, writes) {
+                match Request::classify(said, writes) {
                     Request::Once(statement) => self.write_talk(session, statement).await,
                     Request::Repeatable(statement) => self.read_talk(session, statement).await,
                 }
             }
-            Act::Commit if phase == Phase::Open => self.commit(session, &said).await,
-            Act::Rollback if phase == Phase::Open => self.end(session, Ok(())),
-            _ => self.fail(session, Fail::no(Kind::Order)),
+            StatementKind::Commit if phase == TransactionState::Open => self.commit(session, &said).await,
+            StatementKind::Rollback if phase == TransactionState::Open => self.end(session, Ok(())),
+            _ => self.fail(session, StatementError::not_committed(ErrorKind::OutOfOrder)),
         }
     }
 
     /// A failed statement: in a transaction, everything of it is rolled back.
-    pub fn fail(self: &Rc<Self>, session: &RefCell<SessionData>, fail: Fail) -> Answer {
+    pub fn fail(self: &Rc<Self>, session: &RefCell<SessionData>, fail: StatementError) -> StatementResponse {
         let mut s = session.borrow_mut();
-        if s.phase != Phase::Idle {
-            s.phase = Phase::Failed;
+        if s.phase != TransactionState::Idle {
+            s.phase = TransactionState::Failed;
             s.begun = None;
             if let Some(t) = s.trans.take() {
                 let me = self.clone();
@@ -148,9 +152,9 @@
     }
 
     /// Ends the transaction without a commit.
-    fn end(self: &Rc<Self>, session: &RefCell<SessionData>, out: Result<(), Fail>) -> Answer {
+    fn end(self: &Rc<Self>, session: &RefCell<SessionData>, out: Result<(), StatementError>) -> StatementResponse {
         let mut s = session.borrow_mut();
-        s.phase = Phase::Idle;
+        s.phase = TransactionState::Idle;
         s.begun = None;
         if let Some(t) = s.trans.take() {
             let me = self.clone();
@@ -162,19 +166,19 @@
 
 impl SessionData {
     /// Notes a value or a prepared name.
-    fn keep(&mut self, said: &Statement) -> Result<(), Kind> {
+    fn keep(&mut self, said: &Statement) -> Result<(), ErrorKind> {
         if self.values.len() + self.names.len() >= STATES {
-            return Err(Kind::Full);
+            return Err(ErrorKind::Overloaded);
         }
-        match said.act {
-            Act::Set => {
+        match said.kind {
+            StatementKind::Set => {
                 self.values.insert(said.name.clone(), said.text.clone());
             }
-            Act::Prepare { writes } => {
+            StatementKind::Prepare { writes } => {
                 self.names.insert(said.name.clone(), (writes, said.text.clone()));
             }
             _ => {
-                self.names.remove(&said.name).ok_or(Kind::NoName)?;
+                self.names.remove(&said.name).ok_or(ErrorKind::UnknownPreparedName)?;
             }
         }
         Ok(())
@@ -182,14 +186,14 @@
 
     /// Whether a statement writes; `None` where its name is not known.
     fn writes(&self, said: &Statement) -> Option<bool> {
-        match said.act {
-            Act::Use => self.names.get(&said.name).map(|n| n.0),
-            act => Some(act == Act::Write),
+        match said.kind {
+            StatementKind::Execute => self.names.get(&said.name).map(|n| n.0),
+            act => Some(act == StatementKind::Write),
         }
     }
 
     /// What was prepared under the name that a statement uses.
     pub fn prepared(&self, said: &Statement) -> Option<(bool, String)> {
-        if said.act == Act::Use { self.names.get(&said.name).cloned() } else { None }
+        if said.kind == StatementKind::Execute { self.names.get(&said.name).cloned() } else { None }
     }
 }
--- a/spoke/src/talk/mod.rs
+++ b/spoke/src/talk/mod.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 
 use base::{
-    Kind,
-    talk::{DatabaseSession, Fail, Host},
+    ErrorKind,
+    protocol::{DatabaseSession, SessionProvider, StatementError},
 };
 
 use crate::work::{WorkContext, bump};
@@ -21,18 +21,18 @@
     pub works: Rc<WorkContext>,
 }
 
-impl Host for SessionOpener {
-    fn open_session(&self, name: &str) -> Result<Rc<dyn DatabaseSession>, Fail> {
+impl SessionProvider for SessionOpener {
+    fn open_session(&self, name: &str) -> Result<Rc<dyn DatabaseSession>, StatementError> {
         match self.works.decider.gate(name) {
             Ok(_) => {}
-            Err(Kind::NoDatabase) => return Err(Fail::no(Kind::NoDatabase)),
-            Err(k) => return Err(Fail::no(k)),
+            Err(ErrorKind::NoDatabase) => return Err(StatementError::not_committed(ErrorKind::NoDatabase)),
+            Err(k) => return Err(StatementError::not_committed(k)),
         }
         bump(&self.works.tally.sessions);
         Ok(Rc::new(caller_session::CallerSession::new(&self.works, name)))
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         let view = self.works.journal.view();
         let Some(image) = &view.image else { return false };
         let now = self.works.env.now();
--- a/spoke/src/talk/read.rs
+++ b/spoke/src/talk/read.rs
@@ -1,9 +1,9 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use base::{
-    Kind,
-    talk::{Answer, Fail, Repeatable, Reply, Verdict},
-    words::Position,
+    ErrorKind,
+    position::Position,
+    protocol::{Repeatable, ServerOutcome, ServerReply, StatementError, StatementResponse},
 };
 use futures::{FutureExt, StreamExt, future::LocalBoxFuture, select_biased, stream::FuturesUnordered};
 
@@ -20,7 +20,7 @@
 /// How often one read is sent at most.
 const SENDS: usize = 4;
 
-type Ended = (String, Result<Reply, SendError>);
+type Ended = (String, Result<ServerReply, SendError>);
 
 /// What every send of one read shares.
 struct ReadTask {
@@ -37,23 +37,23 @@
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
         statement: Repeatable,
-    ) -> Answer {
+    ) -> StatementResponse {
         bump(&self.tally.reads);
         let (name, own) = {
             let s = session.borrow();
             (s.name.clone(), s.own)
         };
-        let no = |kind: Kind| told(Err(Fail::no(kind)), None);
+        let no = |kind: ErrorKind| told(Err(StatementError::not_committed(kind)), None);
         let (gate, key, due, until) = match self.entry(&name).await {
             Ok(e) => e,
             Err(k) => return no(k),
         };
         let hedge = gate.aim.unwrap_or_else(|| self.spans(&gate).0) / 2;
-        let state = SessionState::of(&session.borrow(), statement.said());
+        let state = SessionState::of(&session.borrow(), statement.statement());
         let task = Rc::new(ReadTask { gate, key, statement, state, due });
         let mut tried: Vec<String> = Vec::new();
         let mut sends: FuturesUnordered<LocalBoxFuture<'static, Ended>> = FuturesUnordered::new();
-        let mut last = Kind::NoServer;
+        let mut last = ErrorKind::NoServer;
         loop {
             let now = self.env.now();
             if now >= task.due {
@@ -91,12 +91,12 @@
                         }
                         Err(SendError::NotRun(k)) => {
                             last = k;
-                            if k == Kind::Full {
+                            if k == ErrorKind::Overloaded {
                                 self.pause().await;
                             }
                         }
                         Err(SendError::Failed(k)) => last = k,
-                        Err(SendError::Unknown) => last = Kind::Failed,
+                        Err(SendError::Unknown) => last = ErrorKind::ServerFailed,
                     }
                 }
                 _ = late => {
@@ -106,7 +106,7 @@
                         bump(&self.tally.retried);
                         tried.push(t.server.clone());
                         sends.push(self.clone().send_read(task.clone(), t).boxed_local());
-                    } else if let Some((_, Ok(reply))) = self.env.within(task.due - now, sends.next()).await.ok().flatten() {
+                    } else if let Some((_, Ok(reply))) = self.env.timeout(task.due - now, sends.next()).await.ok().flatten() {
                         self.let_end(sends);
                         return answer(reply);
                     }
@@ -116,8 +116,15 @@
         }
         self.let_end(sends);
         bump(&self.tally.refused);
-        let ran = !tried.is_empty() && matches!(last, Kind::Failed | Kind::Due);
-        told(Err(if ran { Fail::unsure(Kind::Failed) } else { Fail::no(last) }), None)
+        let ran = !tried.is_empty() && matches!(last, ErrorKind::ServerFailed | ErrorKind::DeadlineExceeded);
+        told(
+            Err(if ran {
+                StatementError::outcome_unknown(ErrorKind::ServerFailed)
+            } else {
+                StatementError::not_committed(last)
+            }),
+            None,
+        )
     }
 
     /// Lets sends that are still out come to their end, so that no connection is cut while its server is at work.
@@ -127,7 +134,7 @@
         }
     }
 
-    fn next_send(&self, task: &ReadTask, own: Position, tried: &[String]) -> Result<Target, Kind> {
+    fn next_send(&self, task: &ReadTask, own: Position, tried: &[String]) -> Result<Target, ErrorKind> {
         match self.decider.spot(&task.gate, &task.key, own, tried) {
             Order::Send(t) => Ok(t),
             Order::Return(k) => Err(k),
@@ -140,13 +147,13 @@
         (server, out)
     }
 
-    async fn carry_read(&self, task: &ReadTask, target: &Target) -> Result<Reply, SendError> {
-        let pool = self.pools.get(&target.server).ok_or(SendError::NotRun(Kind::NoServer))?;
+    async fn carry_read(&self, task: &ReadTask, target: &Target) -> Result<ServerReply, SendError> {
+        let pool = self.pools.get(&target.server).ok_or(SendError::NotRun(ErrorKind::NoServer))?;
         let mut slot = pool.get(task.due).await.map_err(SendError::NotRun)?;
         // Time was spent in the inbox: what the send rests on is looked at anew.
         let lead = matches!(target.basis, Basis::Leader { .. });
         if !self.decider.open(target) || (lead && !self.decider.leads(target)) {
-            return Err(SendError::NotRun(Kind::NoLeader));
+            return Err(SendError::NotRun(ErrorKind::NoPrimary));
         }
         let after = floor(target);
         self.send_repeatable(&mut slot, &task.key, &task.statement, &task.state, after, task.due).await
@@ -161,7 +168,9 @@
     }
 }
 
-fn answer(reply: Reply) -> Answer {
-    let Verdict::Done(mark) = reply.verdict else { return told(Err(Fail::unsure(Kind::Failed)), None) };
-    Answer { rows: reply.rows, ..told(Ok(mark), reply.place) }
+fn answer(reply: ServerReply) -> StatementResponse {
+    let ServerOutcome::Done(mark) = reply.outcome else {
+        return told(Err(StatementError::outcome_unknown(ErrorKind::ServerFailed)), None);
+    };
+    StatementResponse { rows: reply.rows, ..told(Ok(mark), reply.position) }
 }
