--- a/spoke/src/talk/send.rs
+++ b/spoke/src/talk/send.rs
@@ -1,10 +1,10 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{
-    Kind,
-    http::Fault,
-    talk::{Once, Refused, Repeatable, Reply, Statement, Verdict},
-    words::Position,
+    ErrorKind,
+    http::CallError,
+    position::Position,
+    protocol::{Once, RefusalReason, Repeatable, ServerOutcome, ServerReply, Statement},
 };
 use pick::Outcome;
 
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendError {
     /// Nothing of it was run.
-    NotRun(Kind),
+    NotRun(ErrorKind),
     /// It was run and failed.
-    Failed(Kind),
+    Failed(ErrorKind),
     /// It may have been run.
     Unknown,
 }
@@ -45,9 +45,9 @@
 /// the statement come back to be sent again.
 #[derive(Debug)]
 pub enum OnceError {
-    NotRun(Kind, Once),
+    NotRun(ErrorKind, Once),
     /// It was run and failed.
-    Failed(Kind),
+    Failed(ErrorKind),
     /// It may have been run.
     Unknown,
 }
@@ -72,8 +72,8 @@
         state: &SessionState,
         after: Option<Position>,
         due: Duration,
-    ) -> Result<Reply, SendError> {
-        self.send_statement(slot, key, statement.said(), state, after, due).await
+    ) -> Result<ServerReply, SendError> {
+        self.send_statement(slot, key, statement.statement(), state, after, due).await
     }
 
     /// Attempts a statement that may take effect, and takes it away.
@@ -84,8 +84,8 @@
         statement: Once,
         state: &SessionState,
         due: Duration,
-    ) -> Result<Reply, OnceError> {
-        match self.send_statement(slot, key, statement.said(), state, None, due).await {
+    ) -> Result<ServerReply, OnceError> {
+        match self.send_statement(slot, key, statement.statement(), state, None, due).await {
             Ok(reply) => Ok(reply),
             Err(SendError::NotRun(kind)) => Err(OnceError::NotRun(kind, statement)),
             Err(SendError::Failed(kind)) => Err(OnceError::Failed(kind)),
@@ -103,7 +103,7 @@
         state: &SessionState,
         after: Option<Position>,
         due: Duration,
-    ) -> Result<Reply, SendError> {
+    ) -> Result<ServerReply, SendError> {
         let server = slot.server().to_string();
         let asked = self.env.now();
         self.gauges.sent(&server);
@@ -112,7 +112,7 @@
         let values = if self.decider.disabled.no_wipe { &plain } else { &state.values };
         let name = slot.apply_session(values, prepared, due).await.map_err(|_| {
             self.gauges.record(key, &server, Outcome::Error, self.env.now() - asked);
-            SendError::NotRun(Kind::NoServer)
+            SendError::NotRun(ErrorKind::NoServer)
         })?;
         let renamed;
         let said = if name.is_empty() {
@@ -127,25 +127,31 @@
             Ok(r) => r,
             Err(fault) => {
                 self.gauges.record(key, &server, Outcome::Error, took);
-                return Err(if fault == Fault::Unsent {
-                    SendError::NotRun(Kind::NoServer)
+                return Err(if fault == CallError::NotSent {
+                    SendError::NotRun(ErrorKind::NoServer)
                 } else {
                     SendError::Unknown
                 });
             }
         };
-        self.gauges.answered(&server, asked, reply.place);
-        let (end, miss) = match &reply.verdict {
-            Verdict::Done(_) => (Outcome::Good, None),
-            Verdict::Refused(Refused::Busy) => (Outcome::Throttled, Some(SendError::NotRun(Kind::Full))),
-            Verdict::Refused(Refused::Behind) => (Outcome::Good, Some(SendError::NotRun(Kind::NoServer))),
-            Verdict::Refused(Refused::Follows) => (Outcome::Good, Some(SendError::NotRun(Kind::NoLeader))),
-            Verdict::Refused(Refused::Other | Refused::Nameless) => {
+        self.gauges.answered(&server, asked, reply.position);
+        let (end, miss) = match &reply.outcome {
+            ServerOutcome::Done(_) => (Outcome::Good, None),
+            ServerOutcome::Refused(RefusalReason::Busy) => {
+                (Outcome::Throttled, Some(SendError::NotRun(ErrorKind::Overloaded)))
+            }
+            ServerOutcome::Refused(RefusalReason::Behind) => {
+                (Outcome::Good, Some(SendError::NotRun(ErrorKind::NoServer)))
+            }
+            ServerOutcome::Refused(RefusalReason::NotPrimary) => {
+                (Outcome::Good, Some(SendError::NotRun(ErrorKind::NoPrimary)))
+            }
+            ServerOutcome::Refused(RefusalReason::WrongServer | RefusalReason::UnknownPreparedName) => {
                 slot.spoil();
-                (Outcome::Error, Some(SendError::NotRun(Kind::NoServer)))
+                (Outcome::Error, Some(SendError::NotRun(ErrorKind::NoServer)))
             }
-            Verdict::Failed => (Outcome::Error, Some(SendError::Failed(Kind::Failed))),
-            Verdict::Expired => (Outcome::Error, Some(SendError::Failed(Kind::Due))),
+            ServerOutcome::Failed => (Outcome::Error, Some(SendError::Failed(ErrorKind::ServerFailed))),
+            ServerOutcome::Expired => (Outcome::Error, Some(SendError::Failed(ErrorKind::DeadlineExceeded))),
         };
         self.gauges.record(key, &server, end, took);
         miss.map_or(Ok(reply), Err)
@@ -159,7 +165,7 @@
     }
 
     /// The doorway of a statement outside a transaction, until when it may take and until when it may wait.
-    pub async fn entry(&self, name: &str) -> Result<(MatchedRoute, Key, Duration, Duration), Kind> {
+    pub async fn entry(&self, name: &str) -> Result<(MatchedRoute, Key, Duration, Duration), ErrorKind> {
         let start = self.env.now();
         let gate = self.admitted_route(name).await?;
         let (most, patience) = self.spans(&gate);
@@ -168,10 +174,10 @@
 
     /// The doorway that binds a new statement or transaction: the one in force once this node may take new work. What was
     /// in force while it waited for that may have been replaced since.
-    pub async fn admitted_route(&self, name: &str) -> Result<MatchedRoute, Kind> {
+    pub async fn admitted_route(&self, name: &str) -> Result<MatchedRoute, ErrorKind> {
         let patience = match self.decider.gate(name) {
             Ok(gate) => self.spans(&gate).1,
-            Err(_) => self.decider.bounds.call(),
+            Err(_) => self.decider.bounds.call_timeout(),
         };
         if let Err(kind) = self.admitted(self.env.now() + patience).await {
             bump(&self.tally.refused);
@@ -181,7 +187,7 @@
     }
 
     /// Waits until this node may take new work, up to a time.
-    pub async fn admitted(&self, until: Duration) -> Result<(), Kind> {
+    pub async fn admitted(&self, until: Duration) -> Result<(), ErrorKind> {
         loop {
             match self.decider.admit() {
                 Err(k) if self.env.now() >= until => return Err(k),
@@ -193,7 +199,8 @@
 
     /// Rests until something moved or a moment has passed.
     pub async fn pause(&self) {
-        let seen = self.journal.bell.count();
-        let _ = self.env.within(self.decider.bounds.pulse() / 20, self.journal.bell.after(seen)).await;
+        let seen = self.journal.bell.generation();
+        let _ =
+            self.env.timeout(self.decider.bounds.control_heartbeat() / 20, self.journal.bell.changed_since(seen)).await;
     }
 }
--- a/spoke/src/talk/trans.rs
+++ b/spoke/src/talk/trans.rs
@@ -1,11 +1,13 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use base::{
-    Kind,
-    edge::operator::Promise,
-    error::Kept,
-    seam::Job,
-    talk::{Act, Answer, Fail, Once, Phase, Repeatable, Statement, Verdict},
+    ErrorKind,
+    edge::operator::Consistency,
+    error::WriteOutcome,
+    protocol::{
+        Once, Repeatable, ServerOutcome, Statement, StatementError, StatementKind, StatementResponse, TransactionState,
+    },
+    runtime::TaskGuard,
 };
 
 use super::{
@@ -26,15 +28,16 @@
     key: Key,
     gate: MatchedRoute,
     wrote: bool,
-    idle: Option<Job>,
+    idle: Option<TaskGuard>,
 }
 
 impl WorkContext {
     /// Rolls back at the server; a connection that doesn't show it did is closed.
     pub async fn undo(&self, mut t: Trans) {
-        let due = self.env.now() + self.decider.bounds.call();
-        let out = t.slot.say(&Statement::own(Act::Rollback), None, due).await;
-        if !matches!(&out, Ok(r) if r.phase == Phase::Idle && matches!(r.verdict, Verdict::Done(_))) {
+        let due = self.env.now() + self.decider.bounds.call_timeout();
+        let out = t.slot.say(&Statement::internal(StatementKind::Rollback), None, due).await;
+        if !matches!(&out, Ok(r) if r.transaction == TransactionState::Idle && matches!(r.outcome, ServerOutcome::Done(_)))
+        {
             t.slot.spoil();
         }
     }
@@ -49,7 +52,7 @@
             let Some(session) = weak.upgrade() else { return };
             let t = {
                 let mut s = session.borrow_mut();
-                s.phase = Phase::Failed;
+                s.phase = TransactionState::Failed;
                 s.ended = true;
                 s.begun = None;
                 s.trans.take()
@@ -70,7 +73,7 @@
         session: &Rc<RefCell<SessionData>>,
         said: &Statement,
         writes: bool,
-    ) -> Answer {
+    ) -> StatementResponse {
         let held = session.borrow_mut().trans.take();
         let state = SessionState::of(&session.borrow(), said);
         let (mut t, due) = match held {
@@ -82,7 +85,9 @@
             }
             None => {
                 let begun = session.borrow().begun.clone();
-                let Some(begun) = begun else { return self.fail(session, Fail::no(Kind::Order)) };
+                let Some(begun) = begun else {
+                    return self.fail(session, StatementError::not_committed(ErrorKind::OutOfOrder));
+                };
                 return self.first(session, &begun, said, writes, &state).await;
             }
         };
@@ -102,20 +107,22 @@
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
         t: Trans,
-        out: Result<base::talk::Reply, SendError>,
-    ) -> Answer {
+        out: Result<base::protocol::ServerReply, SendError>,
+    ) -> StatementResponse {
         match out {
             Ok(reply) => {
-                let Verdict::Done(mark) = reply.verdict else { return self.fail(session, Fail::no(Kind::Lost)) };
+                let ServerOutcome::Done(mark) = reply.outcome else {
+                    return self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost));
+                };
                 session.borrow_mut().trans = Some(t);
                 self.rest(session);
-                Answer { rows: reply.rows, ..told(Ok(mark), reply.place) }
+                StatementResponse { rows: reply.rows, ..told(Ok(mark), reply.position) }
             }
             Err(_) => {
                 // Its commit was never sent: whatever became of this statement, nothing of the transaction is kept.
                 session.borrow_mut().trans = Some(t);
                 bump(&self.tally.refused);
-                self.fail(session, Fail::no(Kind::Lost))
+                self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost))
             }
         }
     }
@@ -128,12 +135,12 @@
         said: &Statement,
         writes: bool,
         state: &SessionState,
-    ) -> Answer {
+    ) -> StatementResponse {
         let name = session.borrow().name.clone();
         let start = self.env.now();
         let gate = match self.admitted_route(&name).await {
             Ok(g) => g,
-            Err(k) => return self.fail(session, Fail::no(k)),
+            Err(k) => return self.fail(session, StatementError::not_committed(k)),
         };
         let (most, patience) = self.spans(&gate);
         let due = start + most;
@@ -148,12 +155,12 @@
                     let mut t = Trans { slot, key: key.clone(), gate: gate.clone(), wrote: writes, idle: None };
                     let out = self.send_once(&mut t.slot, &key, statement, state, self.soon(&gate, due)).await;
                     match out {
-                        Err(OnceError::NotRun(k, back)) if said.act != Act::Commit => {
+                        Err(OnceError::NotRun(k, back)) if said.kind != StatementKind::Commit => {
                             statement = back;
                             self.undo(t).await;
                             k
                         }
-                        out if said.act == Act::Commit => {
+                        out if said.kind == StatementKind::Commit => {
                             return self.commit_end(session, t, out.map_err(SendError::from));
                         }
                         out => return self.within_end(session, t, out.map_err(SendError::from)),
@@ -162,7 +169,7 @@
             };
             if self.env.now() >= start + patience {
                 bump(&self.tally.refused);
-                return self.fail(session, Fail::no(kind));
+                return self.fail(session, StatementError::not_committed(kind));
             }
             bump(&self.tally.retried);
             self.pause().await;
@@ -179,10 +186,10 @@
         begun: &Statement,
         due: Duration,
         tried: &mut Vec<String>,
-    ) -> Result<Slot, Kind> {
-        let reads = begun.act == Act::Begin { reads: true };
+    ) -> Result<Slot, ErrorKind> {
+        let reads = begun.kind == StatementKind::Begin { reads: true };
         let own = session.borrow().own;
-        let (mut slot, target) = if reads && gate.promise != Promise::Leader {
+        let (mut slot, target) = if reads && gate.promise != Consistency::Leader {
             let target = match self.decider.spot(gate, key, own, tried) {
                 Order::Send(t) => t,
                 Order::Return(k) => {
@@ -191,18 +198,18 @@
                 }
             };
             tried.push(target.server.clone());
-            let pool = self.pools.get(&target.server).ok_or(Kind::NoServer)?;
+            let pool = self.pools.get(&target.server).ok_or(ErrorKind::NoServer)?;
             let slot = pool.get(due).await?;
             let lead = matches!(target.basis, Basis::Leader { .. });
             if !self.decider.open(&target) || (lead && !self.decider.leads(&target)) {
-                return Err(Kind::NoLeader);
+                return Err(ErrorKind::NoPrimary);
             }
             (slot, target)
         } else {
             self.lead_slot(&gate.group, due).await?
         };
         let state = SessionState::of(&session.borrow(), begun);
-        let opening = Repeatable::opening(begun).ok_or(Kind::Order)?;
+        let opening = Repeatable::begin(begun).ok_or(ErrorKind::OutOfOrder)?;
         match self.send_repeatable(&mut slot, key, &opening, &state, floor(&target), due).await {
             Ok(_) => Ok(slot),
             Err(SendError::NotRun(k)) => {
@@ -211,22 +218,28 @@
             }
             Err(_) => {
                 slot.spoil();
-                Err(Kind::NoServer)
+                Err(ErrorKind::NoServer)
             }
         }
     }
 
     /// Commits; only a server's own word makes it a success.
-    pub(super) async fn commit(self: &Rc<Self>, session: &Rc<RefCell<SessionData>>, said: &Statement) -> Answer {
+    pub(super) async fn commit(
+        self: &Rc<Self>,
+        session: &Rc<RefCell<SessionData>>,
+        said: &Statement,
+    ) -> StatementResponse {
         let held = session.borrow_mut().trans.take();
         let Some(mut t) = held else {
             // Nothing was said in it; even so the answer has to be a server's.
             let begun = session.borrow().begun.clone();
-            let Some(begun) = begun else { return self.fail(session, Fail::no(Kind::Order)) };
+            let Some(begun) = begun else {
+                return self.fail(session, StatementError::not_committed(ErrorKind::OutOfOrder));
+            };
             let state = SessionState::of(&session.borrow(), said);
             let out = self.first(session, &begun, said, false, &state).await;
-            if out.end.is_err() {
-                session.borrow_mut().phase = Phase::Idle;
+            if out.result.is_err() {
+                session.borrow_mut().phase = TransactionState::Idle;
             }
             return out;
         };
@@ -242,30 +255,32 @@
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
         mut t: Trans,
-        out: Result<base::talk::Reply, SendError>,
-    ) -> Answer {
+        out: Result<base::protocol::ServerReply, SendError>,
+    ) -> StatementResponse {
         let mut s = session.borrow_mut();
-        s.phase = Phase::Idle;
+        s.phase = TransactionState::Idle;
         s.begun = None;
         match out {
             Ok(reply) => {
-                if reply.phase != Phase::Idle {
+                if reply.transaction != TransactionState::Idle {
                     t.slot.spoil();
                 }
-                let Verdict::Done(mark) = reply.verdict else { return told(Err(Fail::unsure(Kind::Unknown)), None) };
-                if let Some(p) = reply.place.filter(|_| t.wrote) {
+                let ServerOutcome::Done(mark) = reply.outcome else {
+                    return told(Err(StatementError::outcome_unknown(ErrorKind::OutcomeUnknown)), None);
+                };
+                if let Some(p) = reply.position.filter(|_| t.wrote) {
                     s.own = s.own.max(p);
                 }
-                Answer { rows: reply.rows, ..told(Ok(mark), reply.place) }
+                StatementResponse { rows: reply.rows, ..told(Ok(mark), reply.position) }
             }
             Err(miss) => {
                 t.slot.spoil();
                 // What wrote nothing has nothing that could be kept.
                 let certain = !t.wrote || matches!(miss, SendError::NotRun(_));
                 bump(if certain { &self.tally.refused } else { &self.tally.unknown });
-                let kind = if certain { Kind::Lost } else { Kind::Unknown };
-                let kept = if certain { Kept::No } else { Kept::Unknown };
-                told(Err(Fail { kept, ..Fail::no(kind) }), None)
+                let kind = if certain { ErrorKind::TransactionLost } else { ErrorKind::OutcomeUnknown };
+                let kept = if certain { WriteOutcome::NotCommitted } else { WriteOutcome::Unknown };
+                told(Err(StatementError { outcome: kept, ..StatementError::not_committed(kind) }), None)
             }
         }
     }
--- a/spoke/src/view/fold.rs
+++ b/spoke/src/view/fold.rs
@@ -11,13 +11,13 @@
             Event::News(news) => self.news(now, &news),
             Event::Returned { ret, sent } => {
                 let leads: std::collections::BTreeMap<_, _> = ret
-                    .leads
+                    .primary_leases
                     .into_iter()
                     .map(|l| {
-                        let until = sent + Duration::from_millis(l.span);
+                        let until = sent + Duration::from_millis(l.valid_ms);
                         let old = self.leads.get(&l.group).filter(|o| o.server == l.server && now < o.until);
                         let since = old.map_or(now, |o| o.since);
-                        (l.group, Lead { server: l.server, line: l.line, until, since })
+                        (l.group, Lead { server: l.server, line: l.epoch, until, since })
                     })
                     .collect();
                 let moved = leads.iter().any(|(g, l)| self.leads.get(g).is_none_or(|o| o.line != l.line))
@@ -25,11 +25,11 @@
                 self.handed += u64::from(self.leads.keys().any(|g| !leads.contains_key(g)));
                 self.leads = leads;
                 for s in ret.shares {
-                    let until = sent + Duration::from_millis(s.span);
+                    let until = sent + Duration::from_millis(s.valid_ms);
                     self.shares.insert(s.server, Share { count: s.count, until, scarce: s.scarce, sharers: s.sharers });
                 }
                 self.forget_shares(now);
-                self.waits.push((sent, ret.mark.unwrap_or_default()));
+                self.waits.push((sent, ret.snapshot_version.unwrap_or_default()));
                 if self.waits.len() > 32 {
                     self.waits.remove(0);
                 }
@@ -51,7 +51,7 @@
     }
 
     fn news(&mut self, now: Duration, news: &Snapshot) -> Option<String> {
-        let (mark, image) = (news.mark, &news.image);
+        let (mark, image) = (news.version, &news.image);
         // Never back to an older word, whoever sends it.
         if mark <= self.mark || self.image.as_ref().is_some_and(|i| image.sequence < i.sequence) {
             return None;
@@ -62,16 +62,16 @@
             let since = |was: Option<Duration>, is: bool| is.then(|| was.unwrap_or(now));
             let next = Server {
                 addr: s.addr.clone(),
-                area: s.area.clone(),
+                area: s.zone.clone(),
                 draining: since(old.and_then(|o| o.draining), s.draining),
                 gone: since(old.and_then(|o| o.gone), s.gone),
                 cold: f64::from(s.cold) / 1000.0,
             };
             self.servers.insert(s.name.clone(), next);
         }
-        self.servers.retain(|n, _| image.home(n).is_some() || news.servers.iter().any(|s| s.name == *n));
-        self.emptied.retain(|a, _| image.emptied.contains(a));
-        for a in &image.emptied {
+        self.servers.retain(|n, _| image.group_of(n).is_some() || news.servers.iter().any(|s| s.name == *n));
+        self.emptied.retain(|a, _| image.evacuated_zones.contains(a));
+        for a in &image.evacuated_zones {
             self.emptied.entry(a.clone()).or_insert(now);
         }
         let line = format!("news {}.{} sequence {}", mark.term, mark.count, image.sequence);
@@ -84,7 +84,7 @@
     /// Forgets shares that ran out, of servers that are in no group any more.
     fn forget_shares(&mut self, now: Duration) {
         let image = self.image.as_ref();
-        let in_force = |server: &str| image.is_some_and(|image| image.home(server).is_some());
+        let in_force = |server: &str| image.is_some_and(|image| image.group_of(server).is_some());
         self.shares.retain(|server, share| now < share.until || in_force(server));
     }
 
--- a/spoke/src/view/mod.rs
+++ b/spoke/src/view/mod.rs
@@ -9,8 +9,8 @@
     time::Duration,
 };
 
-use base::{bell::Bell, seam::Env};
-use wire::{BeatReturn, Doorway, Image, Mark, Snapshot};
+use base::{notify::Notify, runtime::Env};
+use wire::{Image, NodeHeartbeatAck, Route, Snapshot, SnapshotVersion};
 
 /// How many events the journal keeps for inspection.
 const MOST: usize = 512;
@@ -19,7 +19,7 @@
 pub enum Event {
     News(Rc<Snapshot>),
     Returned {
-        ret: BeatReturn,
+        ret: NodeHeartbeatAck,
         sent: Duration,
     },
     /// A server said on the spoke's own connection that it is draining, or no longer.
@@ -71,18 +71,18 @@
     pub emptied: BTreeMap<String, Duration>,
     pub leads: BTreeMap<String, Lead>,
     pub shares: BTreeMap<String, Share>,
-    pub mark: Mark,
+    pub mark: SnapshotVersion,
     /// The leading hub's word was the newest at this time.
     pub confirmed: Option<Duration>,
     /// How often a leader grant was taken back.
     pub handed: u64,
-    waits: Vec<(Duration, Mark)>,
+    waits: Vec<(Duration, SnapshotVersion)>,
 }
 
 impl View {
     /// The doorway of a name; news keeps them in order.
-    pub fn doorway(&self, name: &str) -> Option<&Doorway> {
-        let doorways = &self.image.as_ref()?.doorways;
+    pub fn doorway(&self, name: &str) -> Option<&Route> {
+        let doorways = &self.image.as_ref()?.routes;
         let at = doorways.binary_search_by(|d| d.name.as_str().cmp(name)).ok()?;
         doorways.get(at)
     }
@@ -94,13 +94,13 @@
     ring: RefCell<VecDeque<(Duration, String)>>,
     view: RefCell<View>,
     /// Rung after each event.
-    pub bell: Bell,
+    pub bell: Notify,
 }
 
 impl Journal {
     /// An empty journal.
     pub fn new(env: &Env) -> Rc<Self> {
-        Rc::new(Self { env: env.clone(), ring: RefCell::default(), view: RefCell::default(), bell: Bell::default() })
+        Rc::new(Self { env: env.clone(), ring: RefCell::default(), view: RefCell::default(), bell: Notify::default() })
     }
 
     /// Appends an event and folds it into the view.
@@ -114,7 +114,7 @@
             }
             ring.push_back((now, l));
         }
-        self.bell.ring();
+        self.bell.notify_waiters();
     }
 
     /// The view as it stands.
--- a/spoke/src/work/mod.rs
+++ b/spoke/src/work/mod.rs
@@ -10,11 +10,11 @@
 
 use base::{
     edge::{
-        backend::{self, Signs},
-        caller::{self, Verb, Word},
+        backend::{self, ResponseMetadata},
+        client::{self, ClientRequest, Verb},
     },
-    http::{Fault, Return},
-    seam::Env,
+    http::{CallError, HttpResponse},
+    runtime::Env,
 };
 use bytes::Bytes;
 use futures::future::{Either, select};
@@ -66,14 +66,14 @@
 pub struct Task<'a> {
     pub gate: &'a MatchedRoute,
     pub key: &'a Key,
-    pub word: &'a Word<'a>,
+    pub word: &'a ClientRequest<'a>,
     pub body: &'a Bytes,
     pub due: Duration,
 }
 
 /// Why a call was given up or brought nothing.
 pub enum Cut {
-    Fault(Fault),
+    Fault(CallError),
     /// The server was lost sight of, or the grant ended, before an answer came.
     Given,
 }
@@ -88,8 +88,8 @@
         head: &[(&str, String)],
         body: Bytes,
         due: Duration,
-    ) -> Result<Return, Cut> {
-        let call = slot.call(backend::path(verb), head, body, due);
+    ) -> Result<HttpResponse, Cut> {
+        let call = slot.call(backend::statement_path(verb), head, body, due);
         match select(pin!(call), pin!(self.lost(target))).await {
             Either::Left((out, _)) => out.map_err(Cut::Fault),
             Either::Right(_) => Err(Cut::Given),
@@ -103,7 +103,7 @@
         want: &StateOwner,
         state: &[(Verb, Bytes)],
         due: Duration,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), CallError> {
         if self.decider.disabled.no_wipe {
             return Ok(());
         }
@@ -112,15 +112,15 @@
 
     /// Ends when an answer from the target could no longer be used. Most answers come before it first looks.
     async fn lost(&self, target: &Target) {
-        self.env.sleep(self.decider.bounds.sample()).await;
+        self.env.sleep(self.decider.bounds.sampling_interval()).await;
         while self.decider.still(target) && self.decider.open(target) {
-            self.env.sleep(self.decider.bounds.sample() / 2).await;
+            self.env.sleep(self.decider.bounds.sampling_interval() / 2).await;
         }
     }
 
     /// Notes what a server's answer shows of the server.
-    fn note(&self, key: &Key, slot: &Slot, out: &Return, asked: Duration) -> Signs {
-        let signs = backend::signs(out);
+    fn note(&self, key: &Key, slot: &Slot, out: &HttpResponse, asked: Duration) -> ResponseMetadata {
+        let signs = backend::response_metadata(out);
         let end = if signs.throttled {
             Outcome::Throttled
         } else if signs.failed {
@@ -129,23 +129,23 @@
             Outcome::Good
         };
         self.gauges.record(key, slot.server(), end, self.env.now() - asked);
-        if let Some(p) = signs.place {
-            self.gauges.placed(slot.server(), asked, p, signs.log);
+        if let Some(p) = signs.position {
+            self.gauges.placed(slot.server(), asked, p, signs.log_id);
         }
-        if out.header(backend::DRAINING).is_some() {
+        if out.header(backend::DRAINING_HEADER).is_some() {
             self.journal.append(Event::Draining { server: slot.server().into(), draining: signs.draining });
         }
         signs
     }
 
     /// The server's own answer, with what the caller needs beside it.
-    fn hand_on(&self, out: Return, server: &str, token: caller::Token) -> Return {
-        let mut ret = Return::new(out.code, out.body.clone()).with(caller::SERVER, server);
+    fn hand_on(&self, out: HttpResponse, server: &str, token: client::Token) -> HttpResponse {
+        let mut ret = HttpResponse::new(out.status, out.body.clone()).with_header(client::SERVER_HEADER, server);
         if let Some(t) = out.header("content-type") {
-            ret = ret.with("content-type", t);
+            ret = ret.with_header("content-type", t);
         }
-        if token != caller::Token::default() {
-            ret = ret.with(caller::TOKEN, token);
+        if token != client::Token::default() {
+            ret = ret.with_header(client::TOKEN_HEADER, token);
         }
         ret
     }
--- a/spoke/src/work/sends.rs
+++ b/spoke/src/work/sends.rs
@@ -4,10 +4,10 @@
 };
 
 use base::{
-    Kind,
-    edge::{self, caller},
-    error::Kept,
-    http::Return,
+    ErrorKind,
+    edge::{self, client},
+    error::WriteOutcome,
+    http::HttpResponse,
 };
 use bytes::Bytes;
 
@@ -20,7 +20,7 @@
 
 enum State {
     Open,
-    Done(Return),
+    Done(HttpResponse),
 }
 
 /// The attempts that callers named and that took effect here, or may have; the newest few thousand.
@@ -32,15 +32,23 @@
 
 impl Attempts {
     /// Claims an attempt, whose statement is told by a sum; an answer if it is not to be carried out (again).
-    pub fn claim(&self, send: &str, sum: u64) -> Option<Return> {
+    pub fn claim(&self, send: &str, sum: u64) -> Option<HttpResponse> {
         let mut map = self.map.borrow_mut();
         match map.get(send) {
             None => {}
             Some((s, _)) if *s != sum => {
-                return Some(edge::refuse(Kind::Order, "this id was used for another statement", Some(Kept::No)));
+                return Some(edge::error_response(
+                    ErrorKind::OutOfOrder,
+                    "this id was used for another statement",
+                    Some(WriteOutcome::NotCommitted),
+                ));
             }
             Some((_, State::Open)) => {
-                return Some(edge::refuse(Kind::Unknown, "this attempt is under way", Some(Kept::Unknown)));
+                return Some(edge::error_response(
+                    ErrorKind::OutcomeUnknown,
+                    "this attempt is under way",
+                    Some(WriteOutcome::Unknown),
+                ));
             }
             Some((_, State::Done(out))) => return Some(out.clone()),
         }
@@ -58,10 +66,10 @@
     }
 
     /// Notes how an attempt ended; one of which nothing is kept may be made again.
-    pub fn end(&self, send: &str, out: &Return) {
+    pub fn end(&self, send: &str, out: &HttpResponse) {
         let mut map = self.map.borrow_mut();
         let Some((_, state)) = map.get_mut(send) else { return };
-        let kept = out.header(caller::KEPT);
+        let kept = out.header(client::WRITE_OUTCOME_HEADER);
         if kept == Some("no") {
             map.remove(send);
             self.order.borrow_mut().retain(|s| s != send);
@@ -69,7 +77,11 @@
         }
         let long = out.body.len() > BODY;
         *state = State::Done(match long {
-            true => edge::refuse(Kind::Order, "this attempt was kept; its answer is gone", Some(Kept::Yes)),
+            true => edge::error_response(
+                ErrorKind::OutOfOrder,
+                "this attempt was kept; its answer is gone",
+                Some(WriteOutcome::Committed),
+            ),
             false => out.clone(),
         });
     }
@@ -85,14 +97,14 @@
 impl WorkContext {
     /// A single write of an attempt that its caller named: seen a second time at this node, it is answered as the first
     /// time and not carried out again.
-    pub(super) async fn write_once(&self, store: &RefCell<Store>, task: &Task<'_>) -> Return {
+    pub(super) async fn write_once(&self, store: &RefCell<Store>, task: &Task<'_>) -> HttpResponse {
         if self.decider.disabled.no_sends {
             return self.write(store, task).await;
         }
-        let send = task.word.send;
-        if let Some(out) = self.sends.claim(send, sum(task.word.name, task.body)) {
-            if let Some(t) = out.header(caller::TOKEN).and_then(|t| t.parse().ok()) {
-                store.borrow_mut().token.join(t);
+        let send = task.word.attempt_id;
+        if let Some(out) = self.sends.claim(send, sum(task.word.database, task.body)) {
+            if let Some(t) = out.header(client::TOKEN_HEADER).and_then(|t| t.parse().ok()) {
+                store.borrow_mut().token.merge(t);
             }
             return out;
         }
--- a/spoke/src/work/session.rs
+++ b/spoke/src/work/session.rs
@@ -1,15 +1,15 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 use base::{
-    Kind,
+    ErrorKind,
     edge::{
         self, backend,
-        caller::{self, Token, Verb},
-        operator::Promise,
+        client::{self, Token, Verb},
+        operator::Consistency,
     },
-    error::Kept,
-    http::{Ask, Return, Session},
-    seam::{Job, Local},
+    error::WriteOutcome,
+    http::{HttpRequest, HttpResponse, RequestHandler},
+    runtime::{LocalFuture, TaskGuard},
 };
 use bytes::Bytes;
 use futures::channel::oneshot;
@@ -31,12 +31,12 @@
     pub target: Target,
     pub name: String,
     /// Ends the transaction when it sits idle too long.
-    pub idle: Option<Job>,
+    pub idle: Option<TaskGuard>,
 }
 
 /// What a transaction that was ended for the caller leaves behind.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended(pub Kind);
+pub struct Ended(pub ErrorKind);
 
 /// What a session owns.
 #[derive(Default)]
@@ -75,8 +75,8 @@
     }
 }
 
-impl Session for Caller {
-    fn call(&self, ask: Ask) -> Local<Return> {
+impl RequestHandler for Caller {
+    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let (works, store) = (self.works.clone(), self.store.clone());
         Box::pin(async move {
             let (done, wait) = oneshot::channel();
@@ -90,11 +90,12 @@
                 works.part(&store);
             })
             .detach();
-            wait.await.unwrap_or_else(|_| edge::refuse(Kind::Failed, "", Some(Kept::Unknown)))
+            wait.await
+                .unwrap_or_else(|_| edge::error_response(ErrorKind::ServerFailed, "", Some(WriteOutcome::Unknown)))
         })
     }
 
-    fn free(&self) -> bool {
+    fn can_close(&self) -> bool {
         let s = self.store.borrow();
         s.trans.is_none() && !s.busy
     }
@@ -124,28 +125,28 @@
 
     /// Rolls back at the server; a connection that doesn't show it did is closed.
     pub async fn roll_back(&self, mut t: Trans) {
-        let due = self.env.now() + self.decider.bounds.call();
-        let out = t.slot.call(backend::path(Verb::Rollback), &[], Bytes::new(), due).await;
-        if !matches!(&out, Ok(o) if o.code < 300) {
+        let due = self.env.now() + self.decider.bounds.call_timeout();
+        let out = t.slot.call(backend::statement_path(Verb::Rollback), &[], Bytes::new(), due).await;
+        if !matches!(&out, Ok(o) if o.status < 300) {
             t.slot.spoil();
         }
     }
 
     /// Answers one request of a session.
-    async fn serve(self: &Rc<Self>, store: &Rc<RefCell<Store>>, ask: &Ask) -> Return {
+    async fn serve(self: &Rc<Self>, store: &Rc<RefCell<Store>>, ask: &HttpRequest) -> HttpResponse {
         let own = format!("{}-{}-{}", self.decider.name, store.borrow().id, self.env.rand());
-        let named = ask.header(caller::SEND).is_some_and(|s| !s.is_empty());
-        let word = match caller::read(ask) {
+        let named = ask.header(client::ATTEMPT_ID_HEADER).is_some_and(|s| !s.is_empty());
+        let word = match client::parse_request(ask) {
             // Each send has an id; one that its caller did not name gets one here.
-            Ok(w) if w.send.is_empty() => caller::Word { send: &own, ..w },
+            Ok(w) if w.attempt_id.is_empty() => client::ClientRequest { attempt_id: &own, ..w },
             Ok(w) => w,
-            Err(k) => return edge::refuse(k, "", Some(Kept::No)),
+            Err(k) => return edge::error_response(k, "", Some(WriteOutcome::NotCommitted)),
         };
         if let Some(t) = word.token {
-            store.borrow_mut().token.join(t);
+            store.borrow_mut().token.merge(t);
         }
         let (most, _) = self.decider.limit();
-        let due = self.env.now() + word.due.unwrap_or(most).min(most);
+        let due = self.env.now() + word.timeout.unwrap_or(most).min(most);
         let open = store.borrow().trans.is_some();
         if open {
             return self.within(store, &word, &ask.body, due).await;
@@ -154,19 +155,23 @@
         if let Some(Ended(kind)) = ended
             && !matches!(word.verb, Verb::Begin | Verb::Rollback)
         {
-            return edge::refuse(kind, "the transaction was ended and nothing of it kept", Some(Kept::No));
+            return edge::error_response(
+                kind,
+                "the transaction was ended and nothing of it kept",
+                Some(WriteOutcome::NotCommitted),
+            );
         }
         if let Err(k) = self.decider.admit() {
             bump(&self.tally.refused);
-            let mut out = edge::refuse(k, "", Some(Kept::No));
-            out.close = k == Kind::Emptied;
+            let mut out = edge::error_response(k, "", Some(WriteOutcome::NotCommitted));
+            out.close = k == ErrorKind::ZoneEvacuated;
             return out;
         }
-        let gate = match self.decider.gate(word.name) {
+        let gate = match self.decider.gate(word.database) {
             Ok(g) => g,
-            Err(k) => return edge::refuse(k, "", Some(Kept::No)),
+            Err(k) => return edge::error_response(k, "", Some(WriteOutcome::NotCommitted)),
         };
-        let key = self.gauges.key(word.name, word.label);
+        let key = self.gauges.key(word.database, word.label);
         let task = Task { gate: &gate, key: &key, word: &word, body: &ask.body, due };
         let out = match word.verb {
             Verb::Read => self.read(store, &task).await,
@@ -174,15 +179,19 @@
             Verb::Write => self.write(store, &task).await,
             Verb::Begin => self.begin(store, &task).await,
             Verb::Set | Verb::Prepare => self.state(store, &task).await,
-            Verb::Rollback if ended.is_some() => Return::new(200, "{}"),
-            Verb::Rollback => edge::refuse(Kind::Order, "no transaction is open", Some(Kept::No)),
+            Verb::Rollback if ended.is_some() => HttpResponse::new(200, "{}"),
+            Verb::Rollback => {
+                edge::error_response(ErrorKind::OutOfOrder, "no transaction is open", Some(WriteOutcome::NotCommitted))
+            }
             // Made again, perhaps: what became of it the first time can't be told here.
-            Verb::Commit => edge::refuse(Kind::Order, "no transaction is open here", Some(Kept::Unknown)),
+            Verb::Commit => {
+                edge::error_response(ErrorKind::OutOfOrder, "no transaction is open here", Some(WriteOutcome::Unknown))
+            }
         };
-        if out.code == 503 {
+        if out.status == 503 {
             bump(&self.tally.refused);
         }
-        if out.code == 504 {
+        if out.status == 504 {
             bump(&self.tally.unknown);
         }
         out
@@ -201,14 +210,18 @@
     }
 
     /// Adds a statement to the session's state once a server has taken it.
-    async fn state(&self, store: &RefCell<Store>, task: &Task<'_>) -> Return {
+    async fn state(&self, store: &RefCell<Store>, task: &Task<'_>) -> HttpResponse {
         let gate = task.gate;
         if !store.borrow().room(&gate.name, task.body.len()) {
-            return edge::refuse(Kind::Full, "the session has too many values and prepared names", Some(Kept::No));
+            return edge::error_response(
+                ErrorKind::Overloaded,
+                "the session has too many values and prepared names",
+                Some(WriteOutcome::NotCommitted),
+            );
         }
-        let any = MatchedRoute { promise: Promise::Any, ..gate.clone() };
+        let any = MatchedRoute { promise: Consistency::Any, ..gate.clone() };
         let out = self.read_as(store, &Task { gate: &any, ..*task }).await;
-        if out.code < 300 {
+        if out.status < 300 {
             self.keep_state(store, &gate.name, task.word.verb, task.body);
         }
         out
--- a/wire/src/consensus.rs
+++ b/wire/src/consensus.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 
-use crate::{Image, ImageDelta, OutLead};
+use crate::{Image, ImageDelta, OutstandingLease};
 
 /// A control node asks for a vote.
 #[derive(Clone, PartialEq, Message)]
@@ -69,7 +69,7 @@
     pub transfer: bool,
     /// With `transfer`: the leases on groups' primaries that may still stand.
     #[prost(message, repeated, tag = "9")]
-    pub leases: Vec<OutLead>,
+    pub leases: Vec<OutstandingLease>,
     /// In place of `image`: what leads to it from an image that the receiver holds, or will have synced by then.
     #[prost(message, optional, tag = "10")]
     pub delta: Option<ImageDelta>,
--- a/wire/src/image.rs
+++ b/wire/src/image.rs
@@ -1,4 +1,4 @@
-use base::words::Position;
+use base::position::Position;
 use prost::Message;
 
 /// The operator's word and the election record: all that is kept on disks.
@@ -8,51 +8,51 @@
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
     #[prost(message, repeated, tag = "2")]
-    pub doorways: Vec<Doorway>,
+    pub routes: Vec<Route>,
     #[prost(message, repeated, tag = "3")]
     pub groups: Vec<Group>,
     #[prost(message, optional, tag = "4")]
     pub limits: Option<Limits>,
     #[prost(string, repeated, tag = "5")]
-    pub emptied: Vec<String>,
+    pub evacuated_zones: Vec<String>,
     #[prost(message, repeated, tag = "6")]
-    pub elects: Vec<Elect>,
+    pub elections: Vec<Election>,
     /// The control nodes that vote: a quorum is a majority of them.
     #[prost(message, repeated, tag = "7")]
     pub members: Vec<Member>,
     /// The servers' logs that quorums are made of.
     #[prost(message, repeated, tag = "8")]
-    pub logs: Vec<Log>,
+    pub logs: Vec<ServerLog>,
     /// The operators' own number of the set in force.
     #[prost(uint64, tag = "9")]
-    pub number: u64,
+    pub operator_version: u64,
     /// Sets that were taken under builds which told them apart by CRC-32 and length; read, and never added to.
     #[prost(message, repeated, tag = "10")]
-    pub taken: Vec<Taken>,
+    pub legacy_orders: Vec<LegacyOrder>,
     /// The operators' own form of what is said of the whole set.
     #[prost(string, tag = "11")]
     pub note: String,
     /// Where the servers that made themselves known stood, so that they are found before they tell it again.
     #[prost(message, repeated, tag = "12")]
-    pub spots: Vec<Spot>,
+    pub server_addresses: Vec<ServerAddress>,
     /// The newest numbered orders that were taken, oldest first, so that one sent again is known: for each its number
     /// in 8 bytes, big-endian, and its digest in 16.
     #[prost(bytes = "vec", tag = "13")]
-    pub orders: Vec<u8>,
+    pub applied_orders: Vec<u8>,
     /// The highest number of an order that was taken and is no longer remembered.
     #[prost(uint64, tag = "14")]
-    pub forgotten: u64,
+    pub highest_forgotten_order: u64,
     /// While the membership changes: the members before, of which a quorum needs a majority too.
     #[prost(message, repeated, tag = "21")]
     pub outgoing_members: Vec<Member>,
     /// Groups whose list of servers was found complete.
     #[prost(message, repeated, tag = "20")]
-    pub memberships: Vec<Membership>,
+    pub group_memberships: Vec<GroupMembership>,
 }
 
 /// A group whose servers make themselves known, with the number of servers at which its list was found complete.
 #[derive(Clone, PartialEq, Message)]
-pub struct Membership {
+pub struct GroupMembership {
     #[prost(string, tag = "1")]
     pub group: String,
     /// 0 once a server was taken off since.
@@ -62,18 +62,18 @@
 
 /// Where a server stood when it was written into its group.
 #[derive(Clone, PartialEq, Message)]
-pub struct Spot {
+pub struct ServerAddress {
     #[prost(string, tag = "1")]
     pub server: String,
     #[prost(string, tag = "2")]
     pub addr: String,
     #[prost(string, tag = "3")]
-    pub area: String,
+    pub zone: String,
 }
 
 /// A set or change that was taken.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Taken {
+pub struct LegacyOrder {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// A sum of what was sent.
@@ -82,15 +82,15 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct Doorway {
+pub struct Route {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
     pub group: String,
     #[prost(string, tag = "3")]
-    pub promise: String,
+    pub consistency: String,
     #[prost(bool, tag = "4")]
-    pub fall: bool,
+    pub fallback: bool,
     #[prost(string, tag = "5")]
     pub tag: String,
     #[prost(uint64, tag = "6")]
@@ -115,7 +115,7 @@
     pub cap: u64,
     /// Servers taken out that still count until all they may alone hold is held elsewhere.
     #[prost(string, repeated, tag = "4")]
-    pub leavers: Vec<String>,
+    pub leaving_servers: Vec<String>,
     /// The servers confirm commits and make themselves known.
     #[prost(bool, tag = "5")]
     pub confirms: bool,
@@ -133,34 +133,34 @@
 
 /// Who leads a group on which line.
 #[derive(Clone, PartialEq, Message)]
-pub struct Elect {
+pub struct Election {
     #[prost(string, tag = "1")]
     pub group: String,
     #[prost(uint64, tag = "2")]
-    pub line: u64,
+    pub epoch: u64,
     #[prost(string, tag = "3")]
     pub server: String,
     /// The place of the elected log when it was elected: what others hold behind it is void.
     #[prost(uint64, tag = "4")]
-    pub from_line: u64,
+    pub start_epoch: u64,
     #[prost(uint64, tag = "5")]
-    pub from_index: u64,
+    pub start_index: u64,
 }
 
 /// A server's log as quorums know it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Log {
+pub struct ServerLog {
     #[prost(string, tag = "1")]
     pub server: String,
     /// The log's identity.
     #[prost(uint64, tag = "2")]
-    pub born: u64,
+    pub log_id: u64,
     /// It lost something: it is one of those a quorum is counted from, but what it holds does not count.
     #[prost(bool, tag = "3")]
-    pub void: bool,
+    pub incomplete: bool,
     /// Rises each time the log is taken in.
     #[prost(uint64, tag = "4")]
-    pub turn: u64,
+    pub admission: u64,
 }
 
 /// A control node that votes. A disk that was lost comes back under another incarnation and is another member.
@@ -179,51 +179,51 @@
     pub zone: String,
 }
 
-impl Elect {
+impl Election {
     /// The place of the elected log when it was elected.
-    pub fn from(&self) -> Position {
-        Position { line: self.from_line, index: self.from_index }
+    pub fn start_position(&self) -> Position {
+        Position { epoch: self.start_epoch, index: self.start_index }
     }
 }
 
 impl Group {
     /// The servers in it and those that are being taken out.
-    pub fn all(&self) -> impl Iterator<Item = &String> {
-        self.servers.iter().chain(&self.leavers)
+    pub fn servers_and_leaving(&self) -> impl Iterator<Item = &String> {
+        self.servers.iter().chain(&self.leaving_servers)
     }
 }
 
 impl Image {
     /// A server's log as quorums know it.
-    pub fn log(&self, server: &str) -> Option<&Log> {
+    pub fn log(&self, server: &str) -> Option<&ServerLog> {
         self.logs.iter().find(|l| l.server == server)
     }
 
     /// The servers of a group that its quorums are counted from.
-    pub fn voters<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = &'a Log> {
-        group.all().filter_map(|s| self.log(s))
+    pub fn voters<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = &'a ServerLog> {
+        group.servers_and_leaving().filter_map(|s| self.log(s))
     }
 
     /// The group a server belongs to or is being taken out of.
-    pub fn root(&self, server: &str) -> Option<&Group> {
-        self.groups.iter().find(|g| g.all().any(|s| s == server))
+    pub fn group_including_leaving(&self, server: &str) -> Option<&Group> {
+        self.groups.iter().find(|g| g.servers_and_leaving().any(|s| s == server))
     }
 
     /// The newest election of a group.
-    pub fn elect(&self, group: &str) -> Option<&Elect> {
-        self.elects.iter().find(|e| e.group == group)
+    pub fn election(&self, group: &str) -> Option<&Election> {
+        self.elections.iter().find(|e| e.group == group)
     }
 
     /// The part that nodes act on: without the operators' own forms, and without what only control nodes agree by.
     pub fn for_nodes(&self) -> Image {
-        let doorway = |d: &Doorway| Doorway { note: String::new(), ..d.clone() };
+        let doorway = |d: &Route| Route { note: String::new(), ..d.clone() };
         let group = |g: &Group| Group { note: String::new(), ..g.clone() };
         Image {
-            doorways: self.doorways.iter().map(doorway).collect(),
+            routes: self.routes.iter().map(doorway).collect(),
             groups: self.groups.iter().map(group).collect(),
             limits: self.limits,
-            emptied: self.emptied.clone(),
-            elects: self.elects.clone(),
+            evacuated_zones: self.evacuated_zones.clone(),
+            elections: self.elections.clone(),
             logs: self.logs.clone(),
             sequence: self.sequence,
             ..Image::default()
@@ -231,13 +231,13 @@
     }
 
     /// Whether a group's list of servers was found complete, and none has been dismissed since.
-    pub fn complete(&self, group: &Group) -> bool {
-        let found = self.memberships.iter().find(|m| m.group == group.name);
+    pub fn is_membership_complete(&self, group: &Group) -> bool {
+        let found = self.group_memberships.iter().find(|m| m.group == group.name);
         found.is_some_and(|m| m.servers > 0 && group.servers.len() as u64 >= m.servers)
     }
 
     /// The group a server belongs to.
-    pub fn home(&self, server: &str) -> Option<&Group> {
+    pub fn group_of(&self, server: &str) -> Option<&Group> {
         self.groups.iter().find(|g| g.servers.iter().any(|s| s == server))
     }
 }
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -5,14 +5,16 @@
 mod image_delta;
 mod link;
 mod message;
-pub mod news;
 mod pieces;
 pub mod relay;
+pub mod snapshot;
 
 pub use consensus::{Heartbeat, HeartbeatAck, VoteRequest, VoteResponse};
-pub use image::{Doorway, Elect, Group, Image, Limits, Log, Member, Membership, Spot, Taken};
-pub use image_delta::{DoorwayRun, ImageDelta};
-pub use link::{Broken, In, Out, decode, open};
+pub use image::{
+    Election, Group, GroupMembership, Image, LegacyOrder, Limits, Member, Route, ServerAddress, ServerLog,
+};
+pub use image_delta::{ImageDelta, RouteRun};
+pub use link::{LinkError, LinkReader, LinkWriter, decode, open};
 pub use message::*;
-pub use news::Snapshot;
 pub use prost::Message;
+pub use snapshot::Snapshot;
--- a/wire/src/link.rs
+++ b/wire/src/link.rs
@@ -11,8 +11,8 @@
 };
 
 use base::{
-    bell::Bell,
-    seam::{Env, Job, Stream},
+    notify::Notify,
+    runtime::{Env, Stream, TaskGuard},
 };
 use hyper::rt::ReadBuf;
 use prost::Message;
@@ -23,7 +23,7 @@
 };
 
 /// The largest frame a link carries.
-pub const MOST: usize = 1 << 22;
+pub const MAX_FRAME_BYTES: usize = 1 << 22;
 /// How many small frames, and how many pieces of large ones, may wait to leave.
 const INBOX: usize = 1024;
 /// The bytes before a frame's content: its size and its checksum.
@@ -31,7 +31,7 @@
 
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum LinkError {
     #[error("the peer closed")]
     Closed,
     #[error("{0}")]
@@ -43,7 +43,7 @@
 type Shared = Rc<RefCell<Box<dyn Stream>>>;
 
 /// The receiving half of a link.
-pub struct In {
+pub struct LinkReader {
     io: Shared,
     buf: Vec<u8>,
     /// The pieces of a large frame that came so far.
@@ -55,7 +55,7 @@
 /// The sending half of a link; cheap to clone, never waits. Large frames are sent in pieces, and whatever is small goes
 /// between them, so that heartbeats never wait for payload.
 #[derive(Clone)]
-pub struct Out(Rc<Pipe>);
+pub struct LinkWriter(Rc<Pipe>);
 
 struct Pipe {
     /// Small frames, in the order in which they were queued.
@@ -63,14 +63,14 @@
     /// Large frames and news, in pieces, in the order in which they were queued.
     bulk: RefCell<VecDeque<Vec<u8>>>,
     takes_pieces: Rc<Cell<bool>>,
-    bell: Bell,
+    bell: Notify,
     shut: Cell<bool>,
-    _job: RefCell<Option<Job>>,
+    _job: RefCell<Option<TaskGuard>>,
 }
 
 impl Pipe {
     fn wake(&self) -> bool {
-        self.bell.ring();
+        self.bell.notify_waiters();
         true
     }
 
@@ -81,31 +81,31 @@
 }
 
 /// Turns a stream into a link.
-pub fn open(env: &Env, io: Box<dyn Stream>) -> (In, Out) {
+pub fn open(env: &Env, io: Box<dyn Stream>) -> (LinkReader, LinkWriter) {
     let io = Rc::new(RefCell::new(io));
     let takes_pieces = Rc::new(Cell::new(false));
-    let out = Out(Rc::new(Pipe {
+    let out = LinkWriter(Rc::new(Pipe {
         urgent: RefCell::default(),
         bulk: RefCell::default(),
         takes_pieces: takes_pieces.clone(),
-        bell: Bell::default(),
+        bell: Notify::default(),
         shut: Cell::default(),
         _job: RefCell::default(),
     }));
     let job = env.spawn(pump(io.clone(), Rc::downgrade(&out.0), out.0.bell.clone()));
     *out.0._job.borrow_mut() = Some(job);
-    (In { io, buf: Vec::new(), pieces: Assembly::default(), takes_pieces }, out)
+    (LinkReader { io, buf: Vec::new(), pieces: Assembly::default(), takes_pieces }, out)
 }
 
-async fn pump(io: Shared, pipe: std::rc::Weak<Pipe>, bell: Bell) {
+async fn pump(io: Shared, pipe: std::rc::Weak<Pipe>, bell: Notify) {
     loop {
-        let seen = bell.count();
+        let seen = bell.generation();
         let next = match pipe.upgrade() {
             Some(p) => p.next(),
             None => return,
         };
         let Some(data) = next else {
-            bell.after(seen).await;
+            bell.changed_since(seen).await;
             continue;
         };
         if write(&io, &data).await.is_err() {
@@ -129,14 +129,14 @@
     poll_fn(|cx| Pin::new(&mut **io.borrow_mut()).poll_flush(cx)).await
 }
 
-impl Out {
+impl LinkWriter {
     /// Queues a frame; false when the link has ended or is stuck.
     pub fn send(&self, body: Body) -> bool {
         if self.0.shut.get() {
             return false;
         }
         // News builds on the news before it, so that none may overtake another.
-        let in_order = matches!(body, Body::News(_) | Body::NewsDelta(_));
+        let in_order = matches!(body, Body::FullSnapshot(_) | Body::SnapshotDelta(_));
         let Some(data) = encode(body) else { return false };
         if self.0.takes_pieces.get() && data.len() > PIECE {
             let pieces = cut(&data).into_iter().filter_map(|piece| encode(Body::Piece(piece)));
@@ -163,7 +163,7 @@
 fn encode(body: Body) -> Option<Vec<u8>> {
     let frame = Frame { body: Some(body) };
     let size = frame.encoded_len();
-    if size > MOST {
+    if size > MAX_FRAME_BYTES {
         return None;
     }
     let mut data = Vec::with_capacity(size + HEAD);
@@ -175,9 +175,9 @@
     Some(data)
 }
 
-impl In {
+impl LinkReader {
     /// Waits for the next frame.
-    pub async fn next(&mut self) -> Result<Body, Broken> {
+    pub async fn next(&mut self) -> Result<Body, LinkError> {
         loop {
             if let Some(body) = self.take()? {
                 return Ok(body);
@@ -193,14 +193,14 @@
             })
             .await?;
             if n == 0 {
-                return Err(Broken::Closed);
+                return Err(LinkError::Closed);
             }
             self.buf.extend_from_slice(&room[..n]);
         }
     }
 
     /// The next whole frame among the bytes that came; pieces of a large one are put together.
-    fn take(&mut self) -> Result<Option<Body>, Broken> {
+    fn take(&mut self) -> Result<Option<Body>, LinkError> {
         while let Some((body, size)) = decode(&self.buf)? {
             self.buf.drain(..size);
             match body {
@@ -220,22 +220,22 @@
 }
 
 /// Reads one frame off the front of a buffer; `None` when it is not whole yet.
-pub fn decode(buf: &[u8]) -> Result<Option<(Body, usize)>, Broken> {
+pub fn decode(buf: &[u8]) -> Result<Option<(Body, usize)>, LinkError> {
     if buf.len() < HEAD {
         return Ok(None);
     }
     let word = |at: usize| u32::from_le_bytes([buf[at], buf[at + 1], buf[at + 2], buf[at + 3]]);
     let size = word(0) as usize;
-    if size > MOST {
-        return Err(Broken::Corrupt);
+    if size > MAX_FRAME_BYTES {
+        return Err(LinkError::Corrupt);
     }
     if buf.len() < HEAD + size {
         return Ok(None);
     }
     let data = &buf[HEAD..HEAD + size];
     if crc32fast::hash(data) != word(4) {
-        return Err(Broken::Corrupt);
+        return Err(LinkError::Corrupt);
     }
-    let frame = Frame::decode(data).map_err(|_| Broken::Corrupt)?;
-    Ok(Some((frame.body.ok_or(Broken::Corrupt)?, HEAD + size)))
+    let frame = Frame::decode(data).map_err(|_| LinkError::Corrupt)?;
+    Ok(Some((frame.body.ok_or(LinkError::Corrupt)?, HEAD + size)))
 }
--- a/wire/src/message.rs
+++ b/wire/src/message.rs
@@ -1,6 +1,6 @@
 use prost::{Message, Oneof};
 
-use crate::{Doorway, Elect, Group, Heartbeat, HeartbeatAck, Image, Limits, Log, VoteRequest, VoteResponse};
+use crate::{Election, Group, Heartbeat, HeartbeatAck, Image, Limits, Route, ServerLog, VoteRequest, VoteResponse};
 
 /// One frame of a link.
 #[derive(Clone, PartialEq, Message)]
@@ -14,15 +14,15 @@
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
-    Beat(Beat),
+    NodeHeartbeat(NodeHeartbeat),
     #[prost(message, tag = "3")]
-    BeatReturn(BeatReturn),
+    NodeHeartbeatAck(NodeHeartbeatAck),
     #[prost(message, tag = "4")]
-    News(News),
+    FullSnapshot(FullSnapshot),
     #[prost(message, tag = "5")]
-    Ask(Ask),
+    ForwardedRequest(ForwardedRequest),
     #[prost(message, tag = "6")]
-    AskReturn(AskReturn),
+    ForwardedResponse(ForwardedResponse),
     #[prost(message, tag = "7")]
     VoteRequest(VoteRequest),
     #[prost(message, tag = "8")]
@@ -32,11 +32,11 @@
     #[prost(message, tag = "10")]
     HeartbeatAck(HeartbeatAck),
     #[prost(message, tag = "11")]
-    Root(Root),
+    ParentStatus(ParentStatus),
     #[prost(message, tag = "12")]
-    NewsDelta(NewsDelta),
+    SnapshotDelta(SnapshotDelta),
     #[prost(message, tag = "13")]
-    NewsRequest(NewsRequest),
+    SnapshotRequest(SnapshotRequest),
     #[prost(message, tag = "14")]
     Piece(Piece),
 }
@@ -57,14 +57,14 @@
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
-    pub area: String,
+    pub zone: String,
     #[prost(bool, tag = "3")]
     pub hub: bool,
     #[prost(string, tag = "4")]
     pub peer: String,
     /// A random number of this run of the process.
     #[prost(uint64, tag = "5")]
-    pub boot: u64,
+    pub boot_id: u64,
     /// On control nodes: the incarnation of the disk.
     #[prost(uint64, tag = "6")]
     pub incarnation: u64,
@@ -73,7 +73,7 @@
     pub empty: bool,
     /// The bounds it counts by, as one number; 0 from builds that do not tell.
     #[prost(uint64, tag = "8")]
-    pub rule: u64,
+    pub bounds_digest: u64,
     /// On control nodes: blank but for an image that a person took knowingly from the last disk.
     #[prost(bool, tag = "9")]
     pub rescued: bool,
@@ -91,26 +91,26 @@
 
 /// What a node says up the tree to the leading hub.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beat {
+pub struct NodeHeartbeat {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
-    pub boot: u64,
+    pub boot_id: u64,
     /// Ties the return to the time the beat was sent.
     #[prost(uint64, tag = "3")]
     pub nonce: u64,
     #[prost(string, tag = "4")]
-    pub area: String,
+    pub zone: String,
     #[prost(string, tag = "5")]
     pub peer: String,
     #[prost(string, tag = "6")]
     pub http: String,
     #[prost(message, repeated, tag = "7")]
-    pub shares: Vec<Held>,
+    pub shares: Vec<HeldShare>,
     #[prost(message, repeated, tag = "8")]
-    pub sights: Vec<Sight>,
+    pub observations: Vec<ServerObservation>,
     #[prost(message, optional, tag = "9")]
-    pub seen: Option<Mark>,
+    pub snapshot_version: Option<SnapshotVersion>,
     /// The node is going down and hands everything back.
     #[prost(bool, tag = "10")]
     pub leaving: bool,
@@ -121,20 +121,20 @@
     pub parent: String,
     /// The leader grants the node still holds.
     #[prost(message, repeated, tag = "13")]
-    pub leads: Vec<Lead>,
+    pub primary_leases: Vec<PrimaryLeaseGrant>,
     /// The nonce of the newest return the node has acted on.
     #[prost(uint64, tag = "14")]
-    pub heard: u64,
+    pub last_ack_nonce: u64,
     #[prost(bool, tag = "15")]
     pub hub: bool,
     /// The bounds the node counts by, as one number; 0 from builds that do not tell.
     #[prost(uint64, tag = "16")]
-    pub rule: u64,
+    pub bounds_digest: u64,
 }
 
 /// A share of a server's connections that a node holds, and what it could use.
 #[derive(Clone, PartialEq, Message)]
-pub struct Held {
+pub struct HeldShare {
     #[prost(string, tag = "1")]
     pub server: String,
     #[prost(uint64, tag = "2")]
@@ -145,14 +145,14 @@
 
 /// How a node sees a server over its own connections.
 #[derive(Clone, PartialEq, Message)]
-pub struct Sight {
+pub struct ServerObservation {
     #[prost(string, tag = "1")]
     pub server: String,
     /// Milliseconds since the server last answered this node.
     #[prost(uint64, tag = "2")]
     pub age: u64,
     #[prost(uint64, tag = "3")]
-    pub line: u64,
+    pub epoch: u64,
     #[prost(uint64, tag = "4")]
     pub index: u64,
     /// The newest readings were turned away at once: nobody listens there.
@@ -160,12 +160,12 @@
     pub refused: bool,
     /// The log lost something since it was taken in at this turn; 0 when it did not.
     #[prost(uint64, tag = "6")]
-    pub back: u64,
+    pub lost_since_admission: u64,
 }
 
 /// Orders news: the leading hub's term, then its count.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Message)]
-pub struct Mark {
+pub struct SnapshotVersion {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
@@ -174,44 +174,44 @@
 
 /// The leading hub's return to a beat.
 #[derive(Clone, PartialEq, Message)]
-pub struct BeatReturn {
+pub struct NodeHeartbeatAck {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
-    pub boot: u64,
+    pub boot_id: u64,
     #[prost(uint64, tag = "3")]
     pub nonce: u64,
     /// The newest news there was when the beat came.
     #[prost(message, optional, tag = "4")]
-    pub mark: Option<Mark>,
+    pub snapshot_version: Option<SnapshotVersion>,
     #[prost(message, repeated, tag = "5")]
-    pub leads: Vec<Lead>,
+    pub primary_leases: Vec<PrimaryLeaseGrant>,
     #[prost(message, repeated, tag = "6")]
-    pub shares: Vec<Share>,
+    pub shares: Vec<ShareGrant>,
 }
 
 /// A leader grant: counted from when the beat was sent.
 #[derive(Clone, PartialEq, Message)]
-pub struct Lead {
+pub struct PrimaryLeaseGrant {
     #[prost(string, tag = "1")]
     pub group: String,
     #[prost(string, tag = "2")]
     pub server: String,
     #[prost(uint64, tag = "3")]
-    pub line: u64,
+    pub epoch: u64,
     #[prost(uint64, tag = "4")]
-    pub span: u64,
+    pub valid_ms: u64,
 }
 
 /// A share grant: counted from when the beat was sent.
 #[derive(Clone, PartialEq, Message)]
-pub struct Share {
+pub struct ShareGrant {
     #[prost(string, tag = "1")]
     pub server: String,
     #[prost(uint64, tag = "2")]
     pub count: u64,
     #[prost(uint64, tag = "3")]
-    pub span: u64,
+    pub valid_ms: u64,
     /// More nodes want a connection than there are: one that rests is to be given back soon.
     #[prost(bool, tag = "4")]
     pub scarce: bool,
@@ -222,9 +222,9 @@
 
 /// What goes down the tree, whole: the operator's word and the servers as last told.
 #[derive(Clone, PartialEq, Message)]
-pub struct News {
+pub struct FullSnapshot {
     #[prost(message, optional, tag = "1")]
-    pub mark: Option<Mark>,
+    pub version: Option<SnapshotVersion>,
     #[prost(message, optional, tag = "2")]
     pub image: Option<Image>,
     #[prost(message, repeated, tag = "3")]
@@ -235,13 +235,13 @@
 
 /// The changes between two states of the news: each list holds what is new or different, and the keys that are gone.
 #[derive(Clone, PartialEq, Message)]
-pub struct NewsDelta {
+pub struct SnapshotDelta {
     /// The exact state that it builds on.
     #[prost(message, optional, tag = "1")]
-    pub from: Option<Mark>,
+    pub base_version: Option<SnapshotVersion>,
     /// The state that it leads to.
     #[prost(message, optional, tag = "2")]
-    pub mark: Option<Mark>,
+    pub version: Option<SnapshotVersion>,
     /// The checksum of the state that it leads to.
     #[prost(fixed32, tag = "3")]
     pub digest: u32,
@@ -250,23 +250,23 @@
     #[prost(message, optional, tag = "5")]
     pub limits: Option<Limits>,
     #[prost(message, repeated, tag = "6")]
-    pub doorways: Vec<Doorway>,
+    pub routes: Vec<Route>,
     #[prost(string, repeated, tag = "7")]
-    pub doorways_removed: Vec<String>,
+    pub routes_removed: Vec<String>,
     #[prost(message, repeated, tag = "8")]
     pub groups: Vec<Group>,
     #[prost(string, repeated, tag = "9")]
     pub groups_removed: Vec<String>,
     #[prost(string, repeated, tag = "10")]
-    pub emptied: Vec<String>,
+    pub evacuated_zones: Vec<String>,
     #[prost(string, repeated, tag = "11")]
-    pub emptied_removed: Vec<String>,
+    pub evacuated_zones_removed: Vec<String>,
     #[prost(message, repeated, tag = "12")]
-    pub elects: Vec<Elect>,
+    pub elections: Vec<Election>,
     #[prost(string, repeated, tag = "13")]
-    pub elects_removed: Vec<String>,
+    pub elections_removed: Vec<String>,
     #[prost(message, repeated, tag = "14")]
-    pub logs: Vec<Log>,
+    pub logs: Vec<ServerLog>,
     #[prost(string, repeated, tag = "15")]
     pub logs_removed: Vec<String>,
     #[prost(message, repeated, tag = "16")]
@@ -281,10 +281,10 @@
 
 /// A child asks its parent for the whole news: a delta did not fit what it holds.
 #[derive(Clone, PartialEq, Message)]
-pub struct NewsRequest {
+pub struct SnapshotRequest {
     /// The newest state that the child holds.
     #[prost(message, optional, tag = "1")]
-    pub mark: Option<Mark>,
+    pub version: Option<SnapshotVersion>,
 }
 
 /// A server as it told of itself.
@@ -293,7 +293,7 @@
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
-    pub area: String,
+    pub zone: String,
     #[prost(string, tag = "3")]
     pub addr: String,
     #[prost(bool, tag = "4")]
@@ -305,15 +305,15 @@
     #[prost(uint32, tag = "6")]
     pub cold: u32,
     #[prost(bool, tag = "7")]
-    pub leads: bool,
+    pub is_primary: bool,
     #[prost(uint64, tag = "8")]
-    pub line: u64,
+    pub epoch: u64,
     /// The group it makes itself known for, if it does.
     #[prost(string, tag = "9")]
     pub group: String,
     /// The count of its newest report.
     #[prost(uint64, tag = "10")]
-    pub turn: u64,
+    pub report_seq: u64,
     /// It said that it ends.
     #[prost(bool, tag = "11")]
     pub left: bool,
@@ -325,7 +325,7 @@
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
-    pub area: String,
+    pub zone: String,
     #[prost(string, tag = "3")]
     pub peer: String,
     #[prost(string, tag = "4")]
@@ -338,7 +338,7 @@
 
 /// An outer request handed up the tree to the leading hub. Origin, boot and nonce together name it, over restarts too.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct ForwardedRequest {
     #[prost(string, tag = "1")]
     pub origin: String,
     #[prost(uint64, tag = "2")]
@@ -351,44 +351,44 @@
     pub body: prost::bytes::Bytes,
     /// The random number of the run of the process that asks.
     #[prost(uint64, tag = "6")]
-    pub boot: u64,
+    pub boot_id: u64,
     /// It may take effect, and so must not once its origin has given it up.
     #[prost(bool, tag = "7")]
-    pub once: bool,
+    pub at_most_once: bool,
     /// The nonce of the newest beat of the origin's that was returned.
     #[prost(uint64, tag = "8")]
-    pub heard: u64,
+    pub last_ack_nonce: u64,
     /// Milliseconds from when that beat was sent to when this was.
     #[prost(uint64, tag = "9")]
-    pub since: u64,
+    pub ms_since_heartbeat: u64,
 }
 
 /// The answer that goes back down to where the request came in.
 #[derive(Clone, PartialEq, Message)]
-pub struct AskReturn {
+pub struct ForwardedResponse {
     #[prost(string, tag = "1")]
     pub origin: String,
     #[prost(uint64, tag = "2")]
     pub nonce: u64,
     #[prost(uint32, tag = "3")]
-    pub code: u32,
+    pub status: u32,
     #[prost(uint32, tag = "4")]
-    pub retry: u32,
+    pub retry_after_s: u32,
     #[prost(bytes = "bytes", tag = "5")]
     pub body: prost::bytes::Bytes,
     /// As in the request.
     #[prost(uint64, tag = "6")]
-    pub boot: u64,
+    pub boot_id: u64,
 }
 
 /// A parent tells a child how far it is from the leading hub.
 #[derive(Clone, PartialEq, Message)]
-pub struct Root {
+pub struct ParentStatus {
     #[prost(uint32, tag = "1")]
     pub depth: u32,
     /// Whether the parent itself has heard from the root lately.
     #[prost(bool, tag = "2")]
-    pub fed: bool,
+    pub reaches_leader: bool,
     /// The names on the way up, so that no ring forms.
     #[prost(string, repeated, tag = "3")]
     pub path: Vec<String>,
@@ -396,12 +396,12 @@
     pub full: bool,
     /// Rises when the leading hub wants a beat from everyone at once.
     #[prost(uint64, tag = "5")]
-    pub wave: u64,
+    pub round: u64,
 }
 
 /// A leader grant that may still stand.
 #[derive(Clone, PartialEq, Message)]
-pub struct OutLead {
+pub struct OutstandingLease {
     #[prost(string, tag = "1")]
     pub group: String,
     #[prost(string, tag = "2")]
@@ -411,8 +411,8 @@
     pub nonce: u64,
     /// Milliseconds until it has run out for sure.
     #[prost(uint64, tag = "4")]
-    pub left: u64,
+    pub remaining_ms: u64,
     /// The run of the node's process that it was given to.
     #[prost(uint64, tag = "5")]
-    pub boot: u64,
+    pub boot_id: u64,
 }
--- a/wire/src/pieces.rs
+++ b/wire/src/pieces.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Body, Piece,
-    link::{Broken, MOST, decode},
+    link::{LinkError, MAX_FRAME_BYTES, decode},
 };
 
 /// The largest piece, and the largest frame that is sent as it is.
@@ -28,19 +28,19 @@
 
 impl Assembly {
     /// Adds a piece; gives the frame's body with the last one.
-    pub fn add(&mut self, piece: Piece) -> Result<Option<Body>, Broken> {
+    pub fn add(&mut self, piece: Piece) -> Result<Option<Body>, LinkError> {
         self.0.extend_from_slice(&piece.data);
         let size = piece.frame_size as usize;
-        if self.0.len() > MOST || size > MOST * 2 {
-            return Err(Broken::Corrupt);
+        if self.0.len() > MAX_FRAME_BYTES || size > MAX_FRAME_BYTES * 2 {
+            return Err(LinkError::Corrupt);
         }
         if size == 0 {
             return Ok(None);
         }
         let packed = std::mem::take(&mut self.0);
-        let frame = lz4_flex::block::decompress(&packed, size).map_err(|_| Broken::Corrupt)?;
+        let frame = lz4_flex::block::decompress(&packed, size).map_err(|_| LinkError::Corrupt)?;
         match decode(&frame)? {
-            Some((Body::Piece(_), _)) | None => Err(Broken::Corrupt),
+            Some((Body::Piece(_), _)) | None => Err(LinkError::Corrupt),
             Some((body, _)) => Ok(Some(body)),
         }
     }
--- a/wire/src/relay/ask.rs
+++ b/wire/src/relay/forwarding.rs
@@ -7,12 +7,12 @@
     time::Duration,
 };
 
-use base::{Kind, edge::refuse, error::Kept, http};
+use base::{ErrorKind, edge::error_response, error::WriteOutcome, http};
 use bytes::Bytes;
 use futures::channel::oneshot;
 
 use super::{NONCES, Relay};
-use crate::{Ask, AskReturn, BeatReturn, Body};
+use crate::{Body, ForwardedRequest, ForwardedResponse, NodeHeartbeatAck};
 
 /// How long a request may take, in calls.
 const CALLS: u32 = 3;
@@ -37,7 +37,7 @@
 
 /// Why a request brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum ForwardError {
     #[error("no way to the leading hub")]
     NotSent,
     #[error("no answer from the leading hub")]
@@ -52,14 +52,14 @@
 }
 
 /// Reads change nothing, and a server's reports carry a turn of their own by which an older one is known.
-fn effect(ask: &http::Ask) -> Effect {
+fn effect(ask: &http::HttpRequest) -> Effect {
     let report = ask.method == "POST" && ask.path == "/report";
     if ask.method == "GET" || report { Effect::Repeatable } else { Effect::Once }
 }
 
 /// An answer that is awaited; forgotten when nobody waits for it any more.
 struct Awaited<'a> {
-    asks: &'a RefCell<BTreeMap<u64, oneshot::Sender<AskReturn>>>,
+    asks: &'a RefCell<BTreeMap<u64, oneshot::Sender<ForwardedResponse>>>,
     nonce: u64,
 }
 
@@ -70,11 +70,22 @@
 }
 
 /// The answer to a request that is not carried out, as its origin has given it up or may have.
-pub(super) fn too_late(ask: Ask) -> AskReturn {
-    let out = refuse(Kind::Unconfirmed, "the request came too late and was not carried out", Some(Kept::No));
+pub(super) fn too_late(ask: ForwardedRequest) -> ForwardedResponse {
+    let out = error_response(
+        ErrorKind::Unconfirmed,
+        "the request came too late and was not carried out",
+        Some(WriteOutcome::NotCommitted),
+    );
     let retry = out.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
-    let Ask { origin, boot, nonce, .. } = ask;
-    AskReturn { origin, nonce, code: u32::from(out.code), retry, body: out.body, boot }
+    let ForwardedRequest { origin, boot_id: boot, nonce, .. } = ask;
+    ForwardedResponse {
+        origin,
+        nonce,
+        status: u32::from(out.status),
+        retry_after_s: retry,
+        body: out.body,
+        boot_id: boot,
+    }
 }
 
 impl Relay {
@@ -85,17 +96,17 @@
 
     /// How long an answer is waited for.
     fn ask_span(&self) -> Duration {
-        self.bounds().call() * CALLS
+        self.bounds().call_timeout() * CALLS
     }
 
     /// Notes when a beat came that is being returned.
-    pub(super) fn arrived(&self, ret: &BeatReturn) {
+    pub(super) fn arrived(&self, ret: &NodeHeartbeatAck) {
         let (now, kept) = (self.env.now(), self.stale() * FORGOTTEN);
         let mut all = self.arrivals.borrow_mut();
         all.retain(|_, a| a.beats.back().is_some_and(|(_, at)| now - *at < kept));
         let node = all.entry(ret.name.clone()).or_default();
-        if node.boot != ret.boot {
-            *node = Arrivals { boot: ret.boot, beats: VecDeque::new() };
+        if node.boot != ret.boot_id {
+            *node = Arrivals { boot: ret.boot_id, beats: VecDeque::new() };
         }
         node.beats.push_back((ret.nonce, now));
         if node.beats.len() > NONCES {
@@ -107,20 +118,20 @@
     /// request was sent so long after the beat as it tells: by then plus the span its origin has given it up. Clocks of two
     /// machines are never compared. A beat that is not known here went to an earlier leading hub: its origin is asked to
     /// come again.
-    pub(super) fn timely(&self, ask: &Ask) -> bool {
-        let own = ask.origin == self.who.name && ask.boot == self.who.boot;
-        if !ask.once || own || self.guards.any_age.get() {
+    pub(super) fn timely(&self, ask: &ForwardedRequest) -> bool {
+        let own = ask.origin == self.identity.name && ask.boot_id == self.identity.boot_id;
+        if !ask.at_most_once || own || self.guards.any_age.get() {
             return true;
         }
         let all = self.arrivals.borrow();
-        let Some(node) = all.get(&ask.origin).filter(|a| a.boot == ask.boot) else { return false };
-        let came = node.beats.iter().find(|(n, _)| *n == ask.heard).map(|(_, at)| *at);
-        came.is_some_and(|at| self.env.now() < at + Duration::from_millis(ask.since) + self.ask_span())
+        let Some(node) = all.get(&ask.origin).filter(|a| a.boot == ask.boot_id) else { return false };
+        let came = node.beats.iter().find(|(n, _)| *n == ask.last_ack_nonce).map(|(_, at)| *at);
+        came.is_some_and(|at| self.env.now() < at + Duration::from_millis(ask.ms_since_heartbeat) + self.ask_span())
     }
 
     /// Gives an answer to whoever waits for it.
-    pub(super) fn answered(&self, ret: AskReturn) {
-        if ret.boot != self.who.boot && !self.guards.any_boot.get() {
+    pub(super) fn answered(&self, ret: ForwardedResponse) {
+        if ret.boot_id != self.identity.boot_id && !self.guards.any_boot.get() {
             return;
         }
         if let Some(done) = self.asks.borrow_mut().remove(&ret.nonce) {
@@ -129,45 +140,58 @@
     }
 
     /// Hands a request to the leading hub, once.
-    async fn ask(&self, method: &str, path: &str, body: Bytes, effect: Effect) -> Result<AskReturn, AskError> {
-        if !self.head().rooted() && self.parent.borrow().is_none() {
-            return Err(AskError::NotSent);
+    async fn ask(
+        &self,
+        method: &str,
+        path: &str,
+        body: Bytes,
+        effect: Effect,
+    ) -> Result<ForwardedResponse, ForwardError> {
+        if !self.head().is_leader() && self.parent.borrow().is_none() {
+            return Err(ForwardError::NotSent);
         }
         let nonce = self.next();
         let (done, wait) = oneshot::channel();
         self.asks.borrow_mut().insert(nonce, done);
         let _awaited = Awaited { asks: &self.asks, nonce };
         let since = self.env.now() - self.heard_at.get().unwrap_or_default();
-        self.up(Body::Ask(Ask {
-            origin: self.who.name.clone(),
+        self.up(Body::ForwardedRequest(ForwardedRequest {
+            origin: self.identity.name.clone(),
             nonce,
             method: method.into(),
             path: path.into(),
             body,
-            boot: self.who.boot,
-            once: effect == Effect::Once,
-            heard: self.heard.get(),
-            since: since.as_millis() as u64,
+            boot_id: self.identity.boot_id,
+            at_most_once: effect == Effect::Once,
+            last_ack_nonce: self.heard.get(),
+            ms_since_heartbeat: since.as_millis() as u64,
         }));
-        let out = self.env.within(self.ask_span(), wait).await;
-        out.map_err(|_| AskError::NoAnswer)?.map_err(|_| AskError::NoAnswer)
+        let out = self.env.timeout(self.ask_span(), wait).await;
+        out.map_err(|_| ForwardError::NoAnswer)?.map_err(|_| ForwardError::NoAnswer)
     }
 
     /// Answers an outer request by what the leading hub says. Without its word a read is refused, and so is a server's
     /// report, which is simply made again; of anything else the outcome is unknown.
-    pub async fn pass(&self, ask: http::Ask) -> http::Return {
+    pub async fn forward(&self, ask: http::HttpRequest) -> http::HttpResponse {
         let read = ask.method == "GET" || ask.path.starts_with("/report");
         let effect = effect(&ask);
         match self.ask(ask.method.as_str(), &ask.path, ask.body, effect).await {
             Ok(r) => {
-                let out = http::Return::new(r.code as u16, r.body).with("content-type", "application/json");
-                if r.retry > 0 { out.with("retry-after", r.retry) } else { out }
+                let out =
+                    http::HttpResponse::new(r.status as u16, r.body).with_header("content-type", "application/json");
+                if r.retry_after_s > 0 { out.with_header("retry-after", r.retry_after_s) } else { out }
+            }
+            Err(ForwardError::NotSent) => {
+                error_response(ErrorKind::Unconfirmed, "no way to the leading hub", Some(WriteOutcome::NotCommitted))
             }
-            Err(AskError::NotSent) => refuse(Kind::Unconfirmed, "no way to the leading hub", Some(Kept::No)),
-            Err(AskError::NoAnswer) if read => refuse(Kind::Unconfirmed, "no answer from the leading hub", None),
-            Err(AskError::NoAnswer) => {
-                refuse(Kind::Unknown, "no answer from the leading hub; read back before sending it again", None)
+            Err(ForwardError::NoAnswer) if read => {
+                error_response(ErrorKind::Unconfirmed, "no answer from the leading hub", None)
             }
+            Err(ForwardError::NoAnswer) => error_response(
+                ErrorKind::OutcomeUnknown,
+                "no answer from the leading hub; read back before sending it again",
+                None,
+            ),
         }
     }
 }
--- a/wire/src/relay/join.rs
+++ b/wire/src/relay/join.rs
@@ -3,16 +3,16 @@
 use futures::{FutureExt, StreamExt, pin_mut, select_biased, stream::FuturesUnordered};
 
 use super::{Parent, Relay};
-use crate::{Body, Broken, Hello, In, Out, Root, link};
+use crate::{Body, Hello, LinkError, LinkReader, LinkWriter, ParentStatus, link};
 
 /// How many fellow nodes are tried beside the hubs.
 const FELLOWS: usize = 4;
 
 struct Found {
     hello: Hello,
-    root: Root,
-    inn: In,
-    out: Out,
+    root: ParentStatus,
+    inn: LinkReader,
+    out: LinkWriter,
 }
 
 impl Relay {
@@ -20,10 +20,10 @@
     pub(super) async fn join(self: Rc<Self>) -> Result<(), Infallible> {
         let mut next = None;
         loop {
-            if self.head().rooted() {
+            if self.head().is_leader() {
                 next = None;
                 self.parent.borrow_mut().take();
-                self.env.sleep(self.bounds().pulse()).await;
+                self.env.sleep(self.bounds().control_heartbeat()).await;
                 continue;
             }
             let found = match next.take() {
@@ -32,17 +32,17 @@
             };
             match found {
                 Some(found) => {
-                    self.search_counts.end_found();
+                    self.search_counters.end_found();
                     next = self.stay(found).await;
                 }
                 None => {
-                    self.search_counts.end_failed().iter().for_each(|line| self.log(line));
-                    self.env.sleep(self.bounds().pulse() / 2).await;
+                    self.search_counters.end_failed().iter().for_each(|line| self.log(line));
+                    self.env.sleep(self.bounds().control_heartbeat() / 2).await;
                 }
             }
             // A better parent takes the place of the old one; without one, a beat goes out as soon as there is any.
             if next.is_none() && self.parent.borrow_mut().take().is_some() {
-                self.hurry.ring();
+                self.urgent_heartbeat.notify_waiters();
             }
         }
     }
@@ -50,17 +50,17 @@
     /// The addresses at which a parent is looked for: the control nodes that the settings name or that this node knows
     /// of otherwise, and a few fellow nodes. Whoever leads may be none of those that the settings name.
     fn places(&self) -> Vec<SocketAddr> {
-        let mut list = self.who.seeds.clone();
+        let mut list = self.identity.seeds.clone();
         list.extend(self.head().control_nodes());
         list.sort();
         list.dedup();
-        list.retain(|address| *address != self.who.peer);
+        list.retain(|address| *address != self.identity.peer);
         if let Some(news) = self.latest() {
             let mut fellows: Vec<_> = news
                 .nodes
                 .iter()
-                .filter(|n| n.name != self.who.name)
-                .filter_map(|n| Some((n.area != self.who.area, self.env.rand(), n.peer.parse().ok()?)))
+                .filter(|n| n.name != self.identity.name)
+                .filter_map(|n| Some((n.zone != self.identity.zone, self.env.rand(), n.peer.parse().ok()?)))
                 .filter(|(_, _, a)| !list.contains(a))
                 .collect();
             fellows.sort();
@@ -72,10 +72,10 @@
     /// Waits for a fed candidate; the best of those that turn up within a moment of the first.
     async fn find(&self) -> Option<Found> {
         let places = self.places();
-        self.search_counts.begin(places.len());
+        self.search_counters.begin(places.len());
         let mut looks: FuturesUnordered<_> = places.into_iter().map(|a| self.look(a)).collect();
         let mut good: Vec<Found> = Vec::new();
-        let last = self.env.sleep(self.bounds().call() * 2).fuse();
+        let last = self.env.sleep(self.bounds().call_timeout() * 2).fuse();
         pin_mut!(last);
         let mut soon = Box::pin(futures::future::Fuse::terminated());
         loop {
@@ -84,9 +84,9 @@
                     None => break,
                     Some(None) => {}
                     Some(Some(f)) => {
-                        let best = f.hello.area == self.who.area && f.hello.hub && !f.root.full;
+                        let best = f.hello.zone == self.identity.zone && f.hello.hub && !f.root.full;
                         if good.is_empty() {
-                            soon = Box::pin(self.env.sleep(self.bounds().pulse() / 4).fuse());
+                            soon = Box::pin(self.env.sleep(self.bounds().control_heartbeat() / 4).fuse());
                         }
                         good.push(f);
                         if best {
@@ -99,26 +99,32 @@
             }
         }
         // A hub hangs on the leading one however full that is, so that its own area's nodes are near the root.
-        let key =
-            |f: &Found| (f.root.full && !self.who.hub, f.hello.area != self.who.area, f.root.depth, self.env.rand());
+        let key = |f: &Found| {
+            (
+                f.root.full && !self.identity.is_control_node,
+                f.hello.zone != self.identity.zone,
+                f.root.depth,
+                self.env.rand(),
+            )
+        };
         good.into_iter().min_by_key(key)
     }
 
     /// Opens a link and waits on it until the other side is fed.
     async fn look(&self, addr: SocketAddr) -> Option<Found> {
-        let span = self.bounds().call();
+        let span = self.bounds().call_timeout();
         let io = self.env.connect(addr, span).await.ok()?;
         let (mut inn, out) = link::open(&self.env, io);
         out.send(Body::Hello(self.hello()));
-        let Ok(Ok(Body::Hello(hello))) = self.env.within(span, inn.next()).await else { return None };
+        let Ok(Ok(Body::Hello(hello))) = self.env.timeout(span, inn.next()).await else { return None };
         let mut answered = false;
         loop {
-            let Ok(Body::Root(root)) = inn.next().await else { return None };
+            let Ok(Body::ParentStatus(root)) = inn.next().await else { return None };
             if !answered {
-                self.search_counts.note_answer();
+                self.search_counters.note_answer();
                 answered = true;
             }
-            if root.fed && !root.path.contains(&self.who.name) {
+            if root.reaches_leader && !root.path.contains(&self.identity.name) {
                 return Some(Found { hello, root, inn, out });
             }
         }
@@ -128,17 +134,19 @@
     async fn nearer(&self, now: Hello) -> Found {
         loop {
             self.env.sleep(Duration::from_millis(self.bounds().blueprint) * 2).await;
-            if now.area == self.who.area {
+            if now.zone == self.identity.zone {
                 continue;
             }
-            let depth = self.place().1;
-            let span = self.bounds().call();
-            let looks = self.places().into_iter().map(|a| self.env.within(span, self.look(a)));
+            let depth = self.tree_position().1;
+            let span = self.bounds().call_timeout();
+            let looks = self.places().into_iter().map(|a| self.env.timeout(span, self.look(a)));
             let all = futures::future::join_all(looks).await;
             // Never to a node as deep as this one, or two would hang on each other; a hub is left by no such rule.
             // Never to a node as deep as this one, or two would hang on each other; hubs choose by another rule.
-            let near = |f: &Found| f.root.depth < depth || (f.hello.hub && !self.who.hub && f.root.depth == depth);
-            let fit = |f: &Found| f.hello.area == self.who.area && !f.root.full && near(f);
+            let near = |f: &Found| {
+                f.root.depth < depth || (f.hello.hub && !self.identity.is_control_node && f.root.depth == depth)
+            };
+            let fit = |f: &Found| f.hello.zone == self.identity.zone && !f.root.full && near(f);
             if let Some(f) = all.into_iter().flatten().flatten().filter(fit).min_by_key(|f| f.root.depth) {
                 return f;
             }
@@ -156,11 +164,11 @@
         let better = self.nearer(hello.clone()).fuse();
         pin_mut!(better);
         let why = loop {
-            if self.head().rooted() {
+            if self.head().is_leader() {
                 return None;
             }
             let next = select_biased! {
-                body = self.env.within(self.bounds().pulse(), inn.next()).fuse() => body,
+                body = self.env.timeout(self.bounds().control_heartbeat(), inn.next()).fuse() => body,
                 found = better => {
                     self.log(format!("parent {} is left for a nearer one", hello.name));
                     return Some(found);
@@ -169,26 +177,26 @@
             let body = match next {
                 Ok(Ok(b)) => Some(b),
                 Ok(Err(e)) => {
-                    if matches!(e, Broken::Corrupt) {
-                        self.corrupt.set(self.corrupt.get() + 1);
+                    if matches!(e, LinkError::Corrupt) {
+                        self.corrupt_frames.set(self.corrupt_frames.get() + 1);
                     }
                     break e.to_string();
                 }
                 Err(_) => None,
             };
             match body {
-                Some(Body::Root(r)) => {
-                    if r.path.contains(&self.who.name) {
+                Some(Body::ParentStatus(r)) => {
+                    if r.path.contains(&self.identity.name) {
                         break "a ring".into();
                     }
-                    let wave = r.wave;
+                    let wave = r.round;
                     if let Some(p) = &mut *self.parent.borrow_mut() {
                         p.root = r;
                     }
                     self.called(wave);
                 }
-                Some(Body::News(n)) => self.take_whole(n),
-                Some(Body::NewsDelta(d)) => self.take_delta(d),
+                Some(Body::FullSnapshot(n)) => self.take_whole(n),
+                Some(Body::SnapshotDelta(d)) => self.take_delta(d),
                 Some(b) => self.down(b),
                 None => {}
             }
--- a/wire/src/relay/mod.rs
+++ b/wire/src/relay/mod.rs
@@ -1,13 +1,13 @@
 //! The tree of relays: beats and asks go up to the leading hub, returns and news come down.
 
-mod ask;
+mod forwarding;
 mod join;
-mod news;
 mod search;
 mod serve;
+mod snapshots;
 
-use ask::Arrivals;
-pub use ask::Guards;
+use forwarding::Arrivals;
+pub use forwarding::Guards;
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,16 +19,19 @@
 
 use base::{
     Bounds,
-    bell::Bell,
-    seam::{Env, Listener, Part},
-    tree::Tree,
+    notify::Notify,
+    runtime::{Component, Env, Listener},
+    supervisor::Supervisor,
 };
 use futures::channel::oneshot;
 
-use crate::{Ask, AskReturn, Beat, BeatReturn, Body, Hello, NewsDelta, Out, Root, Snapshot};
+use crate::{
+    Body, ForwardedRequest, ForwardedResponse, Hello, LinkWriter, NodeHeartbeat, NodeHeartbeatAck, ParentStatus,
+    Snapshot, SnapshotDelta,
+};
 
-pub use news::NewsCounts;
-pub use search::SearchCounts;
+pub use search::SearchCounters;
+pub use snapshots::SnapshotCounters;
 
 /// How many children a node takes before it calls itself full.
 const MOST_CHILDREN: usize = 4;
@@ -38,79 +41,79 @@
 const NONCES: usize = 64;
 
 /// What a node is in the tree and what it does with what reaches it.
-pub trait Head {
+pub trait RelayHandler {
     /// Whether this node is the leading hub, now and for sure.
-    fn rooted(&self) -> bool;
+    fn is_leader(&self) -> bool;
     /// Adds what this node has to say to its next beat.
-    fn beat(&self, beat: &mut Beat);
+    fn fill_heartbeat(&self, beat: &mut NodeHeartbeat);
     /// A return to this node's own beat, which was sent at `sent`.
-    fn returned(&self, ret: BeatReturn, sent: Duration);
+    fn on_ack(&self, ret: NodeHeartbeatAck, sent: Duration);
     /// Newer news than before.
-    fn news(&self, news: &Rc<Snapshot>);
+    fn on_snapshot(&self, news: &Rc<Snapshot>);
     /// At the leading hub: a beat; gives the return.
-    fn beaten(&self, beat: Beat) -> Option<BeatReturn>;
+    fn handle_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck>;
     /// At the leading hub: an outer request.
-    fn asked(&self, ask: Ask, done: Box<dyn FnOnce(AskReturn)>);
+    fn handle_request(&self, ask: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>);
     /// A frame that is neither; hubs agree by such.
-    fn other(&self, from: &Hello, body: Body, out: &Out);
+    fn on_other_frame(&self, from: &Hello, body: Body, out: &LinkWriter);
     /// Another process opened a link.
-    fn met(&self, _from: &Hello) {}
+    fn on_peer_connected(&self, _from: &Hello) {}
     /// Where this node knows of control nodes beside those that its settings name.
     fn control_nodes(&self) -> Vec<SocketAddr> {
         Vec::new()
     }
     /// Fills in what only a hub says of itself.
-    fn hello(&self, _hello: &mut Hello) {}
+    fn fill_hello(&self, _hello: &mut Hello) {}
 }
 
 struct Child {
     name: String,
-    out: Out,
+    out: LinkWriter,
     /// Whether it takes news as deltas.
     deltas: bool,
     /// The newest news it holds once it has read all that was sent; unknown until its own first beat.
-    news: Option<news::Sent>,
+    news: Option<snapshots::Sent>,
 }
 
 struct Parent {
     name: String,
-    out: Out,
-    root: Root,
+    out: LinkWriter,
+    root: ParentStatus,
 }
 
 /// Who a node is to its peers.
 #[derive(Clone, Debug)]
-pub struct Who {
+pub struct NodeIdentity {
     pub name: String,
-    pub area: String,
-    pub hub: bool,
+    pub zone: String,
+    pub is_control_node: bool,
     pub peer: SocketAddr,
     pub http: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    pub boot: u64,
+    pub boot_id: u64,
 }
 
 /// A node's place in the tree.
 pub struct Relay {
     pub env: Env,
-    pub who: Who,
+    pub identity: NodeIdentity,
     bounds: RefCell<Bounds>,
     own: RefCell<std::rc::Weak<Relay>>,
-    head: RefCell<Option<Rc<dyn Head>>>,
+    head: RefCell<Option<Rc<dyn RelayHandler>>>,
     children: RefCell<BTreeMap<u64, Child>>,
     /// Links of nodes that look for a parent.
-    lookers: RefCell<BTreeMap<u64, Out>>,
+    lookers: RefCell<BTreeMap<u64, LinkWriter>>,
     /// Through which child each node below is reached, and when that was last heard.
     routes: RefCell<BTreeMap<String, (u64, Duration)>>,
     parent: RefCell<Option<Parent>>,
     news: RefCell<Option<Rc<Snapshot>>>,
     /// What led to the newest news from the one before.
-    newest_delta: RefCell<Option<Rc<NewsDelta>>>,
+    newest_delta: RefCell<Option<Rc<SnapshotDelta>>>,
     /// When the parent was last asked for the whole news.
     news_requested: Cell<Option<Duration>>,
-    pub news_counts: NewsCounts,
-    pub search_counts: SearchCounts,
-    asks: RefCell<BTreeMap<u64, oneshot::Sender<AskReturn>>>,
+    pub snapshot_counters: SnapshotCounters,
+    pub search_counters: SearchCounters,
+    asks: RefCell<BTreeMap<u64, oneshot::Sender<ForwardedResponse>>>,
     /// At the leading hub: when beats came that were returned.
     arrivals: RefCell<BTreeMap<String, Arrivals>>,
     /// Test switches.
@@ -121,20 +124,20 @@
     count: Cell<u64>,
     wave: Cell<u64>,
     /// Rung to send the next beat at once.
-    pub hurry: Bell,
+    pub urgent_heartbeat: Notify,
     /// How many links ended on a corrupt frame.
-    pub corrupt: Cell<u64>,
+    pub corrupt_frames: Cell<u64>,
     /// How many frames were handed on for others.
-    pub handed: Cell<u64>,
+    pub forwarded_frames: Cell<u64>,
 }
 
 impl Relay {
     /// A node that is not yet in the tree.
-    pub fn new(env: &Env, who: Who, bounds: Bounds) -> Rc<Self> {
+    pub fn new(env: &Env, who: NodeIdentity, bounds: Bounds) -> Rc<Self> {
         let me = Rc::new(Self {
             own: RefCell::default(),
             env: env.clone(),
-            who,
+            identity: who,
             bounds: RefCell::new(bounds),
             head: RefCell::default(),
             children: RefCell::default(),
@@ -144,8 +147,8 @@
             news: RefCell::default(),
             newest_delta: RefCell::default(),
             news_requested: Cell::default(),
-            news_counts: NewsCounts::default(),
-            search_counts: SearchCounts::default(),
+            snapshot_counters: SnapshotCounters::default(),
+            search_counters: SearchCounters::default(),
             asks: RefCell::default(),
             arrivals: RefCell::default(),
             guards: Guards::default(),
@@ -154,20 +157,20 @@
             heard_at: Cell::default(),
             count: Cell::default(),
             wave: Cell::default(),
-            hurry: Bell::default(),
-            corrupt: Cell::default(),
-            handed: Cell::default(),
+            urgent_heartbeat: Notify::default(),
+            corrupt_frames: Cell::default(),
+            forwarded_frames: Cell::default(),
         });
         *me.own.borrow_mut() = Rc::downgrade(&me);
         me
     }
 
     /// Sets what the node does with what reaches it; once, before it runs.
-    pub fn lead(&self, head: Rc<dyn Head>) {
+    pub fn set_handler(&self, head: Rc<dyn RelayHandler>) {
         *self.head.borrow_mut() = Some(head);
     }
 
-    fn head(&self) -> Rc<dyn Head> {
+    fn head(&self) -> Rc<dyn RelayHandler> {
         self.head.borrow().clone().expect("the head is set before the relay runs")
     }
 
@@ -191,13 +194,13 @@
     }
 
     /// Whether the leading hub was heard through the parent lately.
-    pub fn fed(&self) -> bool {
+    pub fn reaches_leader(&self) -> bool {
         let fresh = self.heard_at.get().is_some_and(|t| self.env.now() - t < self.stale());
-        self.head().rooted() || (fresh && self.parent.borrow().is_some())
+        self.head().is_leader() || (fresh && self.parent.borrow().is_some())
     }
 
     /// The parent's name, and how deep this node sits.
-    pub fn place(&self) -> (String, u32) {
+    pub fn tree_position(&self) -> (String, u32) {
         match &*self.parent.borrow() {
             Some(p) => (p.name.clone(), p.root.depth + 1),
             None => (String::new(), 0),
@@ -211,55 +214,62 @@
 
     /// Whether nodes that look for a parent had better find another.
     fn full(&self) -> bool {
-        let most = if self.who.hub { MOST_CHILDREN_OF_CONTROL_NODE } else { MOST_CHILDREN };
+        let most = if self.identity.is_control_node { MOST_CHILDREN_OF_CONTROL_NODE } else { MOST_CHILDREN };
         self.children.borrow().len() >= most
     }
 
-    fn root(&self) -> Root {
-        let mut root = Root { fed: self.fed(), wave: self.wave.get(), full: self.full(), ..Root::default() };
-        if !self.head().rooted()
+    fn root(&self) -> ParentStatus {
+        let mut root = ParentStatus {
+            reaches_leader: self.reaches_leader(),
+            round: self.wave.get(),
+            full: self.full(),
+            ..ParentStatus::default()
+        };
+        if !self.head().is_leader()
             && let Some(p) = &*self.parent.borrow()
         {
             root.depth = p.root.depth + 1;
             root.path = p.root.path.clone();
         }
-        root.path.push(self.who.name.clone());
+        root.path.push(self.identity.name.clone());
         root
     }
 
     fn hello(&self) -> Hello {
         let mut hello = Hello {
-            name: self.who.name.clone(),
-            area: self.who.area.clone(),
-            hub: self.who.hub,
-            peer: self.who.peer.to_string(),
-            boot: self.who.boot,
-            rule: self.bounds.borrow().sum(),
+            name: self.identity.name.clone(),
+            zone: self.identity.zone.clone(),
+            hub: self.identity.is_control_node,
+            peer: self.identity.peer.to_string(),
+            boot_id: self.identity.boot_id,
+            bounds_digest: self.bounds.borrow().digest(),
             deltas: true,
             pieces: true,
             ..Hello::default()
         };
-        self.head().hello(&mut hello);
+        self.head().fill_hello(&mut hello);
         hello
     }
 
     fn up(&self, body: Body) {
-        if self.head().rooted() {
+        if self.head().is_leader() {
             match body {
-                Body::Beat(b) => {
-                    if let Some(ret) = self.head().beaten(b) {
+                Body::NodeHeartbeat(b) => {
+                    if let Some(ret) = self.head().handle_heartbeat(b) {
                         self.arrived(&ret);
-                        self.down(Body::BeatReturn(ret));
+                        self.down(Body::NodeHeartbeatAck(ret));
                     }
                 }
-                Body::Ask(a) if !self.timely(&a) => self.down(Body::AskReturn(ask::too_late(a))),
-                Body::Ask(a) => {
+                Body::ForwardedRequest(a) if !self.timely(&a) => {
+                    self.down(Body::ForwardedResponse(forwarding::too_late(a)))
+                }
+                Body::ForwardedRequest(a) => {
                     let routes = self.me();
-                    self.head().asked(
+                    self.head().handle_request(
                         a,
                         Box::new(move |ret| {
                             if let Some(me) = routes {
-                                me.down(Body::AskReturn(ret));
+                                me.down(Body::ForwardedResponse(ret));
                             }
                         }),
                     );
@@ -267,41 +277,41 @@
                 _ => {}
             }
         } else if let Some(p) = &*self.parent.borrow() {
-            self.handed.set(self.handed.get() + 1);
+            self.forwarded_frames.set(self.forwarded_frames.get() + 1);
             p.out.send(body);
         }
     }
 
     fn down(&self, body: Body) {
         let to = match &body {
-            Body::BeatReturn(r) => &r.name,
-            Body::AskReturn(r) => &r.origin,
+            Body::NodeHeartbeatAck(r) => &r.name,
+            Body::ForwardedResponse(r) => &r.origin,
             _ => return,
         };
-        if *to != self.who.name {
+        if *to != self.identity.name {
             let route = self.routes.borrow().get(to).copied();
             if let Some(c) = route.and_then(|(id, _)| self.children.borrow().get(&id).map(|c| c.out.clone())) {
-                self.handed.set(self.handed.get() + 1);
+                self.forwarded_frames.set(self.forwarded_frames.get() + 1);
                 c.send(body);
             }
             return;
         }
         match body {
-            Body::BeatReturn(r) if r.boot == self.who.boot => {
+            Body::NodeHeartbeatAck(r) if r.boot_id == self.identity.boot_id => {
                 let sent = self.sent.borrow().iter().find(|(n, _)| *n == r.nonce).map(|(_, t)| *t);
                 let Some(sent) = sent else { return };
                 if r.nonce <= self.heard.get() {
                     return;
                 }
                 self.heard.set(r.nonce);
-                let hungry = !self.fed();
+                let hungry = !self.reaches_leader();
                 self.heard_at.set(Some(self.heard_at.get().map_or(sent, |t| t.max(sent))));
-                self.head().returned(r, sent);
+                self.head().on_ack(r, sent);
                 if hungry {
                     self.tell_root();
                 }
             }
-            Body::AskReturn(r) => self.answered(r),
+            Body::ForwardedResponse(r) => self.answered(r),
             _ => {}
         }
     }
@@ -309,24 +319,24 @@
     fn send_beat(&self, leaving: bool) {
         let Some(out) = self.parent.borrow().as_ref().map(|p| p.out.clone()) else { return };
         let nonce = self.next();
-        let (parent, depth) = self.place();
-        let mut beat = Beat {
-            name: self.who.name.clone(),
-            boot: self.who.boot,
+        let (parent, depth) = self.tree_position();
+        let mut beat = NodeHeartbeat {
+            name: self.identity.name.clone(),
+            boot_id: self.identity.boot_id,
             nonce,
-            area: self.who.area.clone(),
-            peer: self.who.peer.to_string(),
-            http: self.who.http.to_string(),
-            seen: Some(self.mark()),
-            heard: self.heard.get(),
-            hub: self.who.hub,
-            rule: self.bounds.borrow().sum(),
+            zone: self.identity.zone.clone(),
+            peer: self.identity.peer.to_string(),
+            http: self.identity.http.to_string(),
+            snapshot_version: Some(self.mark()),
+            last_ack_nonce: self.heard.get(),
+            hub: self.identity.is_control_node,
+            bounds_digest: self.bounds.borrow().digest(),
             leaving,
             depth,
             parent,
-            ..Beat::default()
+            ..NodeHeartbeat::default()
         };
-        self.head().beat(&mut beat);
+        self.head().fill_heartbeat(&mut beat);
         {
             let mut sent = self.sent.borrow_mut();
             sent.push_back((nonce, self.env.now()));
@@ -334,11 +344,11 @@
                 sent.pop_front();
             }
         }
-        out.send(Body::Beat(beat));
+        out.send(Body::NodeHeartbeat(beat));
     }
 
     /// At the leading hub: asks every node for a beat at once.
-    pub fn call(&self) {
+    pub fn request_heartbeats(&self) {
         self.wave.set(self.wave.get().max(self.env.now().as_micros() as u64) + 1);
         self.tell_root();
     }
@@ -347,7 +357,7 @@
     fn called(&self, wave: u64) {
         if wave > self.wave.get() {
             self.wave.set(wave);
-            self.hurry.ring();
+            self.urgent_heartbeat.notify_waiters();
         }
     }
 
@@ -355,15 +365,15 @@
     fn tell_root(&self) {
         let root = self.root();
         for c in self.children.borrow().values() {
-            c.out.send(Body::Root(root.clone()));
+            c.out.send(Body::ParentStatus(root.clone()));
         }
         for out in self.lookers.borrow().values() {
-            out.send(Body::Root(root.clone()));
+            out.send(Body::ParentStatus(root.clone()));
         }
     }
 
     /// Puts this node's tasks under a supervisor.
-    pub fn tend(self: &Rc<Self>, tree: &mut Tree, sock: Rc<dyn Listener>) {
+    pub fn supervise(self: &Rc<Self>, tree: &mut Supervisor, sock: Rc<dyn Listener>) {
         let me = self.clone();
         tree.child("serve", move || me.clone().serve(sock.clone()));
         let me = self.clone();
@@ -375,13 +385,13 @@
     /// Beats for as long as the process runs.
     async fn beats(self: Rc<Self>) -> Result<(), std::convert::Infallible> {
         loop {
-            let seen = self.hurry.count();
-            if !self.head().rooted() {
+            let seen = self.urgent_heartbeat.generation();
+            if !self.head().is_leader() {
                 self.send_beat(false);
             }
             self.forget_routes();
             self.tell_root();
-            let _ = self.env.within(self.bounds().beat(), self.hurry.after(seen)).await;
+            let _ = self.env.timeout(self.bounds().node_heartbeat(), self.urgent_heartbeat.changed_since(seen)).await;
         }
     }
 
@@ -402,6 +412,6 @@
     }
 
     fn log(&self, text: impl AsRef<str>) {
-        self.env.log(Part::Relay, text);
+        self.env.log(Component::Relay, text);
     }
 }
--- a/wire/src/relay/search.rs
+++ b/wire/src/relay/search.rs
@@ -4,7 +4,7 @@
 
 /// What the searches for a parent brought.
 #[derive(Default)]
-pub struct SearchCounts {
+pub struct SearchCounters {
     /// Searches since the start that brought none.
     pub failed: Cell<u64>,
     failed_in_a_row: Cell<u64>,
@@ -13,7 +13,7 @@
     answered: Cell<usize>,
 }
 
-impl SearchCounts {
+impl SearchCounters {
     /// A search begins at so many addresses.
     pub(super) fn begin(&self, addresses: usize) {
         self.tried.set(addresses);
--- a/wire/src/relay/serve.rs
+++ b/wire/src/relay/serve.rs
@@ -1,9 +1,9 @@
 use std::{convert::Infallible, rc::Rc};
 
-use base::seam::{Listener, Stream};
+use base::runtime::{Listener, Stream};
 
 use super::{Child, Relay};
-use crate::{Body, Broken, Hello, link};
+use crate::{Body, Hello, LinkError, link};
 
 impl Relay {
     /// A handle to itself, for answers that come later.
@@ -21,7 +21,7 @@
                 }
                 Err(e) => {
                     self.log(format!("accept failed: {e}"));
-                    self.env.sleep(self.bounds().pulse()).await;
+                    self.env.sleep(self.bounds().control_heartbeat()).await;
                 }
             }
         }
@@ -29,46 +29,46 @@
 
     async fn taken(self: Rc<Self>, io: Box<dyn Stream>) {
         let (mut inn, out) = link::open(&self.env, io);
-        let span = self.bounds().call();
-        let Ok(Ok(Body::Hello(from))) = self.env.within(span, inn.next()).await else { return };
-        self.head().met(&from);
+        let span = self.bounds().call_timeout();
+        let Ok(Ok(Body::Hello(from))) = self.env.timeout(span, inn.next()).await else { return };
+        self.head().on_peer_connected(&from);
         out.send(Body::Hello(self.hello()));
-        out.send(Body::Root(self.root()));
+        out.send(Body::ParentStatus(self.root()));
         let id = self.next();
         self.lookers.borrow_mut().insert(id, out.clone());
         let quiet = self.quiet() * if from.hub { 15 } else { 1 };
         let end = loop {
-            let body = match self.env.within(quiet, inn.next()).await {
+            let body = match self.env.timeout(quiet, inn.next()).await {
                 Ok(Ok(b)) => b,
                 Ok(Err(e)) => break e,
-                Err(_) => break Broken::Closed,
+                Err(_) => break LinkError::Closed,
             };
             match body {
-                Body::Beat(_) | Body::Ask(_) => {
+                Body::NodeHeartbeat(_) | Body::ForwardedRequest(_) => {
                     self.adopt(id, &from, &out);
-                    if let Body::Beat(b) = &body
+                    if let Body::NodeHeartbeat(b) = &body
                         && b.name == from.name
                     {
-                        self.child_holds(id, b.seen.unwrap_or_default());
+                        self.child_holds(id, b.snapshot_version.unwrap_or_default());
                     }
                     let origin = match &body {
-                        Body::Beat(b) => b.name.clone(),
-                        Body::Ask(a) => a.origin.clone(),
+                        Body::NodeHeartbeat(b) => b.name.clone(),
+                        Body::ForwardedRequest(a) => a.origin.clone(),
                         _ => unreachable!("only beats and asks come here"),
                     };
                     self.routes.borrow_mut().insert(origin, (id, self.env.now()));
                     self.up(body);
                 }
-                Body::NewsRequest(request) => self.child_asks(id, request.mark.unwrap_or_default()),
+                Body::SnapshotRequest(request) => self.child_asks(id, request.version.unwrap_or_default()),
                 other => {
                     // A hub's link for votes and pulses: nobody looks for a parent over it.
                     self.lookers.borrow_mut().remove(&id);
-                    self.head().other(&from, other, &out);
+                    self.head().on_other_frame(&from, other, &out);
                 }
             }
         };
-        if matches!(end, Broken::Corrupt) {
-            self.corrupt.set(self.corrupt.get() + 1);
+        if matches!(end, LinkError::Corrupt) {
+            self.corrupt_frames.set(self.corrupt_frames.get() + 1);
             self.log(format!("link from {} closed: {end}", from.name));
         }
         self.lookers.borrow_mut().remove(&id);
@@ -78,7 +78,7 @@
         }
     }
 
-    fn adopt(&self, id: u64, from: &Hello, out: &crate::Out) {
+    fn adopt(&self, id: u64, from: &Hello, out: &crate::LinkWriter) {
         if self.children.borrow().contains_key(&id) {
             return;
         }
--- a/wire/src/relay/news.rs
+++ b/wire/src/relay/snapshots.rs
@@ -4,19 +4,21 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 
 use super::Relay;
-use crate::{Body, Mark, Message, News, NewsDelta, NewsRequest, Snapshot, news::Refusal};
+use crate::{
+    Body, FullSnapshot, Message, Snapshot, SnapshotDelta, SnapshotRequest, SnapshotVersion, snapshot::DeltaError,
+};
 
 /// What was last sent to a child.
 #[derive(Clone, Copy)]
 pub(super) struct Sent {
     /// The snapshot that the child holds once it has read all that was sent.
-    mark: Mark,
+    mark: SnapshotVersion,
     at: Duration,
 }
 
 /// How news reached this node, counted since the start.
 #[derive(Default)]
-pub struct NewsCounts {
+pub struct SnapshotCounters {
     /// News that came whole, and their bytes.
     pub whole: Cell<u64>,
     pub whole_bytes: Cell<u64>,
@@ -39,8 +41,8 @@
         self.news.borrow().clone()
     }
 
-    pub(super) fn mark(&self) -> Mark {
-        self.news.borrow().as_ref().map(|n| n.mark).unwrap_or_default()
+    pub(super) fn mark(&self) -> SnapshotVersion {
+        self.news.borrow().as_ref().map(|n| n.version).unwrap_or_default()
     }
 
     /// Takes this node's own news and hands it down.
@@ -52,30 +54,30 @@
     }
 
     /// Takes whole news from the parent.
-    pub(super) fn take_whole(&self, news: News) {
-        add(&self.news_counts.whole, 1);
-        add(&self.news_counts.whole_bytes, news.encoded_len() as u64);
+    pub(super) fn take_whole(&self, news: FullSnapshot) {
+        add(&self.snapshot_counters.whole, 1);
+        add(&self.snapshot_counters.whole_bytes, news.encoded_len() as u64);
         self.news_requested.set(None);
-        if let Some(new) = Snapshot::from_news(news) {
+        if let Some(new) = Snapshot::from_message(news) {
             self.take(new, None);
         }
     }
 
     /// Takes a delta from the parent; asks for the whole where it does not fit.
-    pub(super) fn take_delta(&self, delta: NewsDelta) {
-        add(&self.news_counts.deltas, 1);
-        add(&self.news_counts.delta_bytes, delta.encoded_len() as u64);
+    pub(super) fn take_delta(&self, delta: SnapshotDelta) {
+        add(&self.snapshot_counters.deltas, 1);
+        add(&self.snapshot_counters.delta_bytes, delta.encoded_len() as u64);
         let old = self.latest().unwrap_or_default();
         match old.apply(&delta) {
             Ok(new) => {
                 drop(old);
                 self.take(new, Some(delta));
             }
-            Err(Refusal::Old) => {}
-            Err(Refusal::Gap) => self.request_whole(),
-            Err(Refusal::Digest) => {
-                add(&self.news_counts.mismatches, 1);
-                self.log(format!("news after {:?} did not come out as published", old.mark));
+            Err(DeltaError::Old) => {}
+            Err(DeltaError::Gap) => self.request_whole(),
+            Err(DeltaError::Digest) => {
+                add(&self.snapshot_counters.mismatches, 1);
+                self.log(format!("news after {:?} did not come out as published", old.version));
                 self.request_whole();
             }
         }
@@ -84,20 +86,20 @@
     /// Asks the parent for the whole news: once, and again only if nothing came for the time a call may take.
     fn request_whole(&self) {
         let now = self.env.now();
-        let span = self.bounds().call();
+        let span = self.bounds().call_timeout();
         if self.news_requested.get().is_some_and(|at| now < at + span) {
             return;
         }
         let Some(out) = self.parent.borrow().as_ref().map(|p| p.out.clone()) else { return };
         self.news_requested.set(Some(now));
-        add(&self.news_counts.requests, 1);
-        out.send(Body::NewsRequest(NewsRequest { mark: Some(self.mark()) }));
+        add(&self.snapshot_counters.requests, 1);
+        out.send(Body::SnapshotRequest(SnapshotRequest { version: Some(self.mark()) }));
     }
 
     /// Takes a newer snapshot and hands it down; never goes back to an older one.
-    fn take(&self, new: Snapshot, delta: Option<NewsDelta>) {
+    fn take(&self, new: Snapshot, delta: Option<SnapshotDelta>) {
         let old = self.latest().unwrap_or_default();
-        if new.mark <= old.mark {
+        if new.version <= old.version {
             return;
         }
         let new = Rc::new(new);
@@ -108,7 +110,7 @@
         };
         *self.newest_delta.borrow_mut() = delta.map(Rc::new);
         *self.news.borrow_mut() = Some(new.clone());
-        self.head().news(&new);
+        self.head().on_snapshot(&new);
         let children: Vec<u64> = self.children.borrow().keys().copied().collect();
         children.into_iter().for_each(|id| self.catch_up(id));
     }
@@ -118,21 +120,21 @@
         let Some(newest) = self.latest() else { return };
         let mut children = self.children.borrow_mut();
         let Some(child) = children.get_mut(&id) else { return };
-        let Some(sent) = child.news.filter(|sent| sent.mark < newest.mark) else { return };
+        let Some(sent) = child.news.filter(|sent| sent.mark < newest.version) else { return };
         let delta = self.newest_delta.borrow().clone();
-        let delta = delta.filter(|d| child.deltas && d.from == Some(sent.mark));
+        let delta = delta.filter(|d| child.deltas && d.base_version == Some(sent.mark));
         let body = match delta {
-            Some(delta) => Body::NewsDelta((*delta).clone()),
-            None => Body::News(newest.to_news()),
+            Some(delta) => Body::SnapshotDelta((*delta).clone()),
+            None => Body::FullSnapshot(newest.to_message()),
         };
         if child.out.send(body) {
-            child.news = Some(Sent { mark: newest.mark, at: self.env.now() });
+            child.news = Some(Sent { mark: newest.version, at: self.env.now() });
         }
     }
 
     /// A child told in its beat what it holds. One that still tells of an older one long after the newest was sent gets
     /// the whole.
-    pub(super) fn child_holds(&self, id: u64, mark: Mark) {
+    pub(super) fn child_holds(&self, id: u64, mark: SnapshotVersion) {
         let now = self.env.now();
         if let Some(child) = self.children.borrow_mut().get_mut(&id) {
             let lost = child.news.is_some_and(|sent| mark < sent.mark && now > sent.at + self.stale());
@@ -144,12 +146,12 @@
     }
 
     /// A child asks for the whole, as a delta did not fit what it holds.
-    pub(super) fn child_asks(&self, id: u64, mark: Mark) {
-        let Some(newest) = self.latest().filter(|newest| mark < newest.mark) else { return };
+    pub(super) fn child_asks(&self, id: u64, mark: SnapshotVersion) {
+        let Some(newest) = self.latest().filter(|newest| mark < newest.version) else { return };
         let mut children = self.children.borrow_mut();
         let Some(child) = children.get_mut(&id) else { return };
-        if child.out.send(Body::News(newest.to_news())) {
-            child.news = Some(Sent { mark: newest.mark, at: self.env.now() });
+        if child.out.send(Body::FullSnapshot(newest.to_message())) {
+            child.news = Some(Sent { mark: newest.version, at: self.env.now() });
         }
     }
 }
--- a/wire/src/news.rs
+++ b/wire/src/snapshot.rs
@@ -5,12 +5,12 @@
 
 use prost::Message;
 
-use crate::{Doorway, Elect, Group, Image, Log, Mark, News, NewsDelta, Node, Server};
+use crate::{Election, FullSnapshot, Group, Image, Node, Route, Server, ServerLog, SnapshotDelta, SnapshotVersion};
 
 /// The state that news tells of, in one fixed order, so that equal states have equal digests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    pub mark: Mark,
+    pub version: SnapshotVersion,
     pub image: Rc<Image>,
     pub servers: Vec<Server>,
     pub nodes: Vec<Node>,
@@ -18,7 +18,7 @@
 
 /// Why a delta was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum DeltaError {
     #[error("the snapshot held is as new")]
     Old,
     #[error("the delta builds on another snapshot")]
@@ -42,7 +42,7 @@
     };
 }
 
-keyed!(Doorway: name, Group: name, Elect: group, Log: server, Server: name, Node: name);
+keyed!(Route: name, Group: name, Election: group, ServerLog: server, Server: name, Node: name);
 
 impl Keyed for String {
     fn key(&self) -> &str {
@@ -83,31 +83,31 @@
 /// What nodes need of an image, in order.
 fn for_nodes(image: &Image) -> Image {
     let mut image = image.for_nodes();
-    sort(&mut image.doorways);
+    sort(&mut image.routes);
     sort(&mut image.groups);
-    sort(&mut image.emptied);
-    sort(&mut image.elects);
+    sort(&mut image.evacuated_zones);
+    sort(&mut image.elections);
     sort(&mut image.logs);
     image
 }
 
 impl Snapshot {
     /// What nodes need of the present state.
-    pub fn new(mark: Mark, image: &Image, mut servers: Vec<Server>, mut nodes: Vec<Node>) -> Self {
+    pub fn new(mark: SnapshotVersion, image: &Image, mut servers: Vec<Server>, mut nodes: Vec<Node>) -> Self {
         sort(&mut servers);
         sort(&mut nodes);
-        Self { mark, image: Rc::new(for_nodes(image)), servers, nodes }
+        Self { version: mark, image: Rc::new(for_nodes(image)), servers, nodes }
     }
 
     /// From news that is whole; `None` where it lacks its mark or its image.
-    pub fn from_news(news: News) -> Option<Self> {
-        Some(Self::new(news.mark?, &news.image?, news.servers, news.nodes))
+    pub fn from_message(news: FullSnapshot) -> Option<Self> {
+        Some(Self::new(news.version?, &news.image?, news.servers, news.nodes))
     }
 
     /// As it is sent whole.
-    pub fn to_news(&self) -> News {
-        News {
-            mark: Some(self.mark),
+    pub fn to_message(&self) -> FullSnapshot {
+        FullSnapshot {
+            version: Some(self.version),
             image: Some((*self.image).clone()),
             servers: self.servers.clone(),
             nodes: self.nodes.clone(),
@@ -123,7 +123,7 @@
         let before: BTreeMap<&str, &Server> = old.servers.iter().map(|s| (s.name.as_str(), s)).collect();
         for server in &mut self.servers {
             let Some(told) = before.get(server.name.as_str()) else { continue };
-            let counted = Server { turn: told.turn, ..server.clone() };
+            let counted = Server { report_seq: told.report_seq, ..server.clone() };
             if counted == **told {
                 *server = counted;
             }
@@ -133,7 +133,7 @@
     /// A checksum of all that it holds.
     pub fn digest(&self) -> u32 {
         let mut sum = crc32fast::Hasher::new();
-        sum.update(&self.mark.encode_length_delimited_to_vec());
+        sum.update(&self.version.encode_length_delimited_to_vec());
         sum.update(&self.image.encode_length_delimited_to_vec());
         self.servers.iter().for_each(|s| sum.update(&s.encode_length_delimited_to_vec()));
         self.nodes.iter().for_each(|n| sum.update(&n.encode_length_delimited_to_vec()));
@@ -141,21 +141,21 @@
     }
 
     /// What leads from this snapshot to a newer one.
-    pub fn delta_to(&self, new: &Snapshot) -> NewsDelta {
-        let mut delta = NewsDelta {
-            from: Some(self.mark),
-            mark: Some(new.mark),
+    pub fn delta_to(&self, new: &Snapshot) -> SnapshotDelta {
+        let mut delta = SnapshotDelta {
+            base_version: Some(self.version),
+            version: Some(new.version),
             digest: new.digest(),
             sequence: new.image.sequence,
             limits: new.image.limits,
-            ..NewsDelta::default()
+            ..SnapshotDelta::default()
         };
         if !Rc::ptr_eq(&self.image, &new.image) {
             let (old, new) = (&self.image, &new.image);
-            (delta.doorways, delta.doorways_removed) = diff(&old.doorways, &new.doorways);
+            (delta.routes, delta.routes_removed) = diff(&old.routes, &new.routes);
             (delta.groups, delta.groups_removed) = diff(&old.groups, &new.groups);
-            (delta.emptied, delta.emptied_removed) = diff(&old.emptied, &new.emptied);
-            (delta.elects, delta.elects_removed) = diff(&old.elects, &new.elects);
+            (delta.evacuated_zones, delta.evacuated_zones_removed) = diff(&old.evacuated_zones, &new.evacuated_zones);
+            (delta.elections, delta.elections_removed) = diff(&old.elections, &new.elections);
             (delta.logs, delta.logs_removed) = diff(&old.logs, &new.logs);
         }
         (delta.servers, delta.servers_removed) = diff(&self.servers, &new.servers);
@@ -164,30 +164,30 @@
     }
 
     /// The snapshot that a delta leads to from this one. A result that is not what was published is never given out.
-    pub fn apply(&self, delta: &NewsDelta) -> Result<Snapshot, Refusal> {
-        if delta.mark.unwrap_or_default() <= self.mark {
-            return Err(Refusal::Old);
+    pub fn apply(&self, delta: &SnapshotDelta) -> Result<Snapshot, DeltaError> {
+        if delta.version.unwrap_or_default() <= self.version {
+            return Err(DeltaError::Old);
         }
-        if delta.from.unwrap_or_default() != self.mark {
-            return Err(Refusal::Gap);
+        if delta.base_version.unwrap_or_default() != self.version {
+            return Err(DeltaError::Gap);
         }
         let new = self.merged(delta);
         if new.digest() != delta.digest {
-            return Err(Refusal::Digest);
+            return Err(DeltaError::Digest);
         }
         Ok(new)
     }
 
-    fn merged(&self, delta: &NewsDelta) -> Snapshot {
-        let mut new = Snapshot { mark: delta.mark.unwrap_or_default(), ..self.clone() };
+    fn merged(&self, delta: &SnapshotDelta) -> Snapshot {
+        let mut new = Snapshot { version: delta.version.unwrap_or_default(), ..self.clone() };
         if changes_image(&self.image, delta) {
             let image = Rc::make_mut(&mut new.image);
             image.sequence = delta.sequence;
             image.limits = delta.limits;
-            merge(&mut image.doorways, &delta.doorways, &delta.doorways_removed);
+            merge(&mut image.routes, &delta.routes, &delta.routes_removed);
             merge(&mut image.groups, &delta.groups, &delta.groups_removed);
-            merge(&mut image.emptied, &delta.emptied, &delta.emptied_removed);
-            merge(&mut image.elects, &delta.elects, &delta.elects_removed);
+            merge(&mut image.evacuated_zones, &delta.evacuated_zones, &delta.evacuated_zones_removed);
+            merge(&mut image.elections, &delta.elections, &delta.elections_removed);
             merge(&mut image.logs, &delta.logs, &delta.logs_removed);
         }
         merge(&mut new.servers, &delta.servers, &delta.servers_removed);
@@ -196,19 +196,19 @@
     }
 }
 
-fn changes_image(image: &Image, delta: &NewsDelta) -> bool {
+fn changes_image(image: &Image, delta: &SnapshotDelta) -> bool {
     let put = [
-        delta.doorways.is_empty(),
+        delta.routes.is_empty(),
         delta.groups.is_empty(),
-        delta.emptied.is_empty(),
-        delta.elects.is_empty(),
+        delta.evacuated_zones.is_empty(),
+        delta.elections.is_empty(),
         delta.logs.is_empty(),
     ];
     let removed = [
-        &delta.doorways_removed,
+        &delta.routes_removed,
         &delta.groups_removed,
-        &delta.emptied_removed,
-        &delta.elects_removed,
+        &delta.evacuated_zones_removed,
+        &delta.elections_removed,
         &delta.logs_removed,
     ];
     image.sequence != delta.sequence
--- a/wire/tests/image_delta.rs
+++ b/wire/tests/image_delta.rs
@@ -1,19 +1,19 @@
 //! Changes of the image: a delta between any two images leads to exactly the newer one, and to nothing from another base.
 
 use bolero::check;
-use wire::{Doorway, Elect, Image, ImageDelta, Message};
+use wire::{Election, Image, ImageDelta, Message, Route};
 
 /// An image whose doorways are named by the bytes, with a field that differs by the other byte.
 fn image(rows: &[(u8, u8)], sequence: u64) -> Image {
-    let mut doorways: Vec<Doorway> = Vec::new();
+    let mut doorways: Vec<Route> = Vec::new();
     for (name, limit) in rows {
         let name = format!("d{name}");
         if doorways.iter().all(|d| d.name != name) {
-            doorways.push(Doorway { name, statement_ms: u64::from(*limit), ..Doorway::default() });
+            doorways.push(Route { name, statement_ms: u64::from(*limit), ..Route::default() });
         }
     }
-    let elects = vec![Elect { group: "g".into(), line: sequence, ..Elect::default() }];
-    Image { sequence, doorways, elects, note: format!("set {sequence}"), ..Image::default() }
+    let elects = vec![Election { group: "g".into(), epoch: sequence, ..Election::default() }];
+    Image { sequence, routes: doorways, elections: elects, note: format!("set {sequence}"), ..Image::default() }
 }
 
 #[test]
@@ -49,13 +49,13 @@
 #[test]
 fn a_small_change_of_a_large_image_is_small() {
     let rows = |count: usize| -> Image {
-        let doorway = |n| Doorway { name: format!("d{n}"), note: "n".repeat(200), ..Doorway::default() };
-        Image { sequence: 1, doorways: (0..count).map(doorway).collect(), ..Image::default() }
+        let doorway = |n| Route { name: format!("d{n}"), note: "n".repeat(200), ..Route::default() };
+        Image { sequence: 1, routes: (0..count).map(doorway).collect(), ..Image::default() }
     };
     let size = |count: usize| {
         let old = rows(count);
         let mut new = old.clone();
-        new.doorways[count / 2].statement_ms = 7;
+        new.routes[count / 2].statement_ms = 7;
         old.delta_to(&new).encoded_len()
     };
     let (few, many) = (size(40), size(4000));
--- a/wire/tests/link.rs
+++ b/wire/tests/link.rs
@@ -1,10 +1,12 @@
 //! Frames as they come off a link: whole, cut short, or corrupt.
 
 use bolero::check;
-use wire::{Beat, Body, Broken, Frame, Message, decode};
+use wire::{Body, Frame, LinkError, Message, NodeHeartbeat, decode};
 
 fn frame(name: &str) -> Vec<u8> {
-    let body = Frame { body: Some(Body::Beat(Beat { name: name.into(), nonce: 7, ..Beat::default() })) };
+    let body = Frame {
+        body: Some(Body::NodeHeartbeat(NodeHeartbeat { name: name.into(), nonce: 7, ..NodeHeartbeat::default() })),
+    };
     let data = body.encode_to_vec();
     let mut out = (data.len() as u32).to_le_bytes().to_vec();
     out.extend_from_slice(&crc32fast::hash(&data).to_le_bytes());
@@ -20,7 +22,7 @@
     }
     let (body, size) = decode(&whole).unwrap().unwrap();
     assert_eq!(size, whole.len());
-    assert!(matches!(body, Body::Beat(b) if b.name == "n1"));
+    assert!(matches!(body, Body::NodeHeartbeat(b) if b.name == "n1"));
 }
 
 #[test]
@@ -30,7 +32,7 @@
         for bit in 0..8 {
             let mut bad = whole.clone();
             bad[at] ^= 1 << bit;
-            assert!(matches!(decode(&bad), Err(Broken::Corrupt)), "byte {at} bit {bit}");
+            assert!(matches!(decode(&bad), Err(LinkError::Corrupt)), "byte {at} bit {bit}");
         }
     }
 }
--- a/wire/tests/pieces.rs
+++ b/wire/tests/pieces.rs
@@ -4,7 +4,7 @@
 
 use base::Env;
 use kit::sim::Sim;
-use wire::{Beat, Body, Doorway, Hello, Image, Mark, News, NewsDelta, open};
+use wire::{Body, FullSnapshot, Hello, Image, NodeHeartbeat, Route, SnapshotDelta, SnapshotVersion, open};
 
 fn address() -> std::net::SocketAddr {
     "10.1.0.9:9000".parse().expect("an address")
@@ -21,24 +21,28 @@
         state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         state >> 33
     };
-    let doorway = |_| Doorway { name: format!("{:x}{:x}{:x}", random(), random(), random()), ..Doorway::default() };
-    let image = Image { doorways: (0..6000).map(doorway).collect(), ..Image::default() };
-    Body::News(News { mark: Some(Mark { term: 1, count }), image: Some(image), ..News::default() })
+    let doorway = |_| Route { name: format!("{:x}{:x}{:x}", random(), random(), random()), ..Route::default() };
+    let image = Image { routes: (0..6000).map(doorway).collect(), ..Image::default() };
+    Body::FullSnapshot(FullSnapshot {
+        version: Some(SnapshotVersion { term: 1, count }),
+        image: Some(image),
+        ..FullSnapshot::default()
+    })
 }
 
 fn small_news(count: u64) -> Body {
-    Body::NewsDelta(NewsDelta { mark: Some(Mark { term: 1, count }), ..NewsDelta::default() })
+    Body::SnapshotDelta(SnapshotDelta { version: Some(SnapshotVersion { term: 1, count }), ..SnapshotDelta::default() })
 }
 
 fn heartbeat(nonce: u64) -> Body {
-    Body::Beat(Beat { nonce, ..Beat::default() })
+    Body::NodeHeartbeat(NodeHeartbeat { nonce, ..NodeHeartbeat::default() })
 }
 
 fn label(body: &Body) -> String {
     match body {
-        Body::News(n) => format!("large {}", n.mark.unwrap_or_default().count),
-        Body::NewsDelta(d) => format!("small {}", d.mark.unwrap_or_default().count),
-        Body::Beat(b) => format!("beat {}", b.nonce),
+        Body::FullSnapshot(n) => format!("large {}", n.version.unwrap_or_default().count),
+        Body::SnapshotDelta(d) => format!("small {}", d.version.unwrap_or_default().count),
+        Body::NodeHeartbeat(b) => format!("beat {}", b.nonce),
         other => format!("{other:?}"),
     }
 }
