--- a/wire/src/relay/forwarding.rs
+++ b/wire/src/relay/forwarding.rs
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Whether a request may still be executed: its origin must still await the response. The request states how long
-    /// after an acknowledged heartbeat it was sent. That heartbeat was sent no later than it arrived here, so the time
-    /// of arrival plus the stated interval plus the request timeout bounds the time until which the origin waits. This
-    /// never compares the clocks of two machines. A heartbeat that is unknown here was sent to an earlier leader: the
-    /// request is then rejected, and the origin has to send it again.
+    /// Whether a request may still be executed, that is, whether its origin may still await the response. The request
+    /// states how long after an acknowledged heartbeat it was sent. That heartbeat was sent no later than it arrived
+    /// here, so by the time of arrival plus the stated interval plus the request timeout, the origin has stopped
+    /// waiting. This never compares the clocks of two machines. A heartbeat that is unknown here was sent to an earlier
+    /// leader: the request is then rejected, and the origin has to send it again.
     pub(super) fn is_in_time(&self, request: &ForwardedRequest) -> bool {
         let is_own = request.origin == self.identity.name && request.boot_id == self.identity.boot_id;
         if !request.at_most_once || is_own || self.guards.any_age.get() {
--- a/wire/src/relay/mod.rs
+++ b/wire/src/relay/mod.rs
@@ -57,7 +57,7 @@
     /// On the leader: handles a forwarded request and calls `done` with the response.
     fn handle_request(&self, request: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>);
     /// Called for any other frame, such as those of the consensus between control nodes.
-    fn on_other_frame(&self, from: &Hello, body: Body, out: &LinkWriter);
+    fn on_other_frame(&self, from: &Hello, body: Body, writer: &LinkWriter);
     /// Called when another process has opened a link to this one.
     fn on_peer_connected(&self, _from: &Hello) {}
     /// Addresses of control nodes beyond those in the settings.
@@ -99,7 +99,7 @@
     pub boot_id: u64,
 }
 
-/// A process's member of the dissemination tree: its links to its parent and children, and what it has received.
+/// A process's place in the dissemination tree: its links to its parent and children, and what it has received.
 pub struct Relay {
     pub env: Env,
     pub identity: NodeIdentity,
