--- a/base/src/boot.rs
+++ b/base/src/boot.rs
@@ -1,4 +1,4 @@
-//! How both programs start: flags, settings file, log, signals.
+//! Startup shared by both programs: flags, settings file, logging and signals.
 
 use std::{path::PathBuf, process::exit, rc::Rc};
 
@@ -15,7 +15,7 @@
 /// Exit code: an address can't be bound or the data folder can't be used.
 pub const EXIT_CANNOT_START: i32 = 69;
 
-/// What the flags said; they go before the file.
+/// The values of the command-line flags. They take precedence over the settings file.
 #[derive(Clone, Debug, Default)]
 pub struct Flags {
     pub file: Option<PathBuf>,
@@ -32,162 +32,170 @@
     pub rescue: Option<String>,
 }
 
-/// Declares a program's flags, the same for both programs but for the description.
+/// Declares a program's command line and a function `flags()` that parses it. Both programs have the same flags; only
+/// the description differs.
 #[macro_export]
 macro_rules! flags {
     ($text:literal) => {
         #[derive(argh::FromArgs)]
         #[argh(description = $text)]
-        struct Given {
-            /// settings file (JSON); flags go before it
+        struct Arguments {
+            /// settings file (JSON); flags take precedence over it
             #[argh(option)]
             file: Option<std::path::PathBuf>,
-            /// topology file (GeoJSON); together with --name it gives area, addresses and seeds
+            /// topology file (GeoJSON); together with --name it sets zone, addresses and seeds
             #[argh(option)]
             topology: Option<std::path::PathBuf>,
-            /// this process's name
+            /// name of this process
             #[argh(option)]
             name: Option<String>,
-            /// the area it stands in
+            /// zone of this process
             #[argh(option)]
             area: Option<String>,
-            /// address for callers, back ends and operators
+            /// address for clients, servers and operators
             #[argh(option)]
             http: Option<String>,
-            /// address for other processes
+            /// address for links from other processes
             #[argh(option)]
             peer: Option<String>,
-            /// peer address of a control node; give three
+            /// peer address of a control node; repeat for each of the three
             #[argh(option)]
             seed: Vec<String>,
             /// data folder (control nodes)
             #[argh(option)]
             data: Option<String>,
-            /// address of the platform that names leaders (control nodes)
+            /// address of the platform API that promotes servers (control nodes)
             #[argh(option)]
             platform: Option<String>,
-            /// error, warn, info or debug
+            /// log level: error, warn, info or debug
             #[argh(option)]
             log: Option<String>,
             /// check settings and flags, then exit
             #[argh(switch)]
             check: bool,
-            /// on a stopped control node, when the other two disks are lost: "look" tells what this disk holds and the
-            /// word to give here for going on from it (see docs/runbook.md)
+            /// on a stopped control node, when the other two disks are lost: "look" prints what this disk holds and the
+            /// value to pass here to continue from it (see docs/runbook.md)
             #[argh(option)]
             rescue: Option<String>,
         }
 
         fn flags() -> $crate::boot::Flags {
-            let g: Given = argh::from_env();
+            let arguments: Arguments = argh::from_env();
             $crate::boot::Flags {
-                file: g.file,
-                topology: g.topology,
-                name: g.name,
-                area: g.area,
-                http: g.http,
-                peer: g.peer,
-                seed: g.seed,
-                data: g.data,
-                platform: g.platform,
-                log: g.log,
-                check: g.check,
-                rescue: g.rescue,
+                file: arguments.file,
+                topology: arguments.topology,
+                name: arguments.name,
+                area: arguments.area,
+                http: arguments.http,
+                peer: arguments.peer,
+                seed: arguments.seed,
+                data: arguments.data,
+                platform: arguments.platform,
+                log: arguments.log,
+                check: arguments.check,
+                rescue: arguments.rescue,
             }
         }
     };
 }
 
-/// Takes from the topology what neither flags nor file need to say then.
-fn locate(flags: &Flags) -> Result<Flags, String> {
+/// Fills in zone, addresses and seeds from the topology file, where one is given; flags take precedence.
+fn with_topology(flags: &Flags) -> Result<Flags, String> {
     let mut flags = flags.clone();
     let Some(path) = &flags.topology else { return Ok(flags) };
-    let told = |e: String| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-    let all = topology::read(&text).map_err(told)?;
+    let with_path = |e: String| format!("{}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| with_path(e.to_string()))?;
+    let processes = topology::read(&text).map_err(with_path)?;
     let name = flags.name.as_ref().ok_or("--topology needs --name")?;
-    let me = all.iter().find(|s| s.name == *name).ok_or_else(|| told(format!("no feature has the name {name:?}")))?;
-    flags.area.get_or_insert(me.zone.clone());
-    flags.http.get_or_insert(me.http.to_string());
-    flags.peer.get_or_insert(me.peer.to_string());
+    let this_process = processes
+        .iter()
+        .find(|p| p.name == *name)
+        .ok_or_else(|| with_path(format!("no feature has the name {name:?}")))?;
+    flags.area.get_or_insert(this_process.zone.clone());
+    flags.http.get_or_insert(this_process.http.to_string());
+    flags.peer.get_or_insert(this_process.peer.to_string());
     if flags.seed.is_empty() {
-        let hubs = all.iter().filter(|s| s.role == topology::Role::Hub);
-        flags.seed = hubs.map(|s| s.peer.to_string()).collect();
+        let control_nodes = processes.iter().filter(|p| p.role == topology::Role::ControlNode);
+        flags.seed = control_nodes.map(|p| p.peer.to_string()).collect();
     }
     Ok(flags)
 }
 
-/// The path of the users' own settings file, where a variable names one and no flag says anything else.
+/// The path of the platform's settings file from the environment variable `variable`; `None` if the variable is not set
+/// or if one of the flags --file, --topology and --name is given.
 pub fn platform_settings_path(flags: &Flags, variable: &str) -> Option<PathBuf> {
-    let own = flags.file.is_none() && flags.topology.is_none() && flags.name.is_none();
-    std::env::var_os(variable).filter(|_| own).map(PathBuf::from)
+    let no_source_flags = flags.file.is_none() && flags.topology.is_none() && flags.name.is_none();
+    std::env::var_os(variable).filter(|_| no_source_flags).map(PathBuf::from)
 }
 
-/// Reads the file and lays topology and flags over it; the error names file and field.
+/// Reads the settings file, applies the topology file and the flags over it, and checks the result. The error names
+/// file and field.
 pub fn load(flags: &Flags) -> Result<(Settings, NodeConfig), String> {
-    let flags = &locate(flags)?;
-    let mut set = match &flags.file {
+    let flags = &with_topology(flags)?;
+    let mut settings = match &flags.file {
         Some(path) => {
             let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
             settings::read(&text).map_err(|e| format!("{}: {e}", path.display()))?
         }
         None => {
-            for (flag, given) in [
+            for (flag, is_given) in [
                 ("name", flags.name.is_some()),
                 ("area", flags.area.is_some()),
                 ("http", flags.http.is_some()),
                 ("peer", flags.peer.is_some()),
                 ("seed", !flags.seed.is_empty()),
             ] {
-                if !given {
+                if !is_given {
                     return Err(format!("--{flag} is missing, and no --file is given"));
                 }
             }
-            let bare = br#"{"name":"","area":"","http":"","peer":"","seeds":[]}"#;
-            settings::read(bare)?
+            let empty_settings = br#"{"name":"","area":"","http":"","peer":"","seeds":[]}"#;
+            settings::read(empty_settings)?
         }
     };
-    for (to, from) in [
-        (&mut set.name, &flags.name),
-        (&mut set.area, &flags.area),
-        (&mut set.http, &flags.http),
-        (&mut set.peer, &flags.peer),
-        (&mut set.log, &flags.log),
+    for (target, flag) in [
+        (&mut settings.name, &flags.name),
+        (&mut settings.area, &flags.area),
+        (&mut settings.http, &flags.http),
+        (&mut settings.peer, &flags.peer),
+        (&mut settings.log, &flags.log),
     ] {
-        if let Some(v) = from {
-            to.clone_from(v);
+        if let Some(value) = flag {
+            target.clone_from(value);
         }
     }
     if !flags.seed.is_empty() {
-        set.seeds.clone_from(&flags.seed);
+        settings.seeds.clone_from(&flags.seed);
     }
     if flags.data.is_some() {
-        set.data.clone_from(&flags.data);
+        settings.data.clone_from(&flags.data);
     }
     if flags.platform.is_some() {
-        set.platform.clone_from(&flags.platform);
+        settings.platform.clone_from(&flags.platform);
     }
-    let from = flags.file.as_ref().map_or("flags".to_string(), |f| f.display().to_string());
-    match set.check() {
-        Ok(place) => Ok((set, place)),
-        Err(all) => Err(all.iter().map(|f| format!("{from}: {f}")).collect::<Vec<_>>().join("\n")),
+    let source = flags.file.as_ref().map_or("flags".to_string(), |f| f.display().to_string());
+    match settings.check() {
+        Ok(config) => Ok((settings, config)),
+        Err(faults) => Err(faults.iter().map(|fault| format!("{source}: {fault}")).collect::<Vec<_>>().join("\n")),
     }
 }
 
-/// Loads, or tells what is wrong and ends; with `--check` ends either way.
-pub fn load_or_exit(flags: &Flags, hub: bool) -> (Settings, NodeConfig) {
-    let out = load(flags).and_then(|(s, p)| match &s.data {
-        _ if !hub && flags.rescue.is_some() => Err("--rescue: only control nodes have a disk to go on from".into()),
-        None if hub => Err("data: a control node needs a data folder".into()),
-        Some(_) if !hub => Err("data: only control nodes have a data folder".into()),
-        _ => Ok((s, p)),
+/// Loads the settings; prints the faults and exits if there are any. With `--check` the process exits in either case.
+pub fn load_or_exit(flags: &Flags, is_control_node: bool) -> (Settings, NodeConfig) {
+    let result = load(flags).and_then(|(settings, config)| match &settings.data {
+        _ if !is_control_node && flags.rescue.is_some() => {
+            Err("--rescue: only control nodes have a disk to recover from".into())
+        }
+        None if is_control_node => Err("data: a control node needs a data folder".into()),
+        Some(_) if !is_control_node => Err("data: only control nodes have a data folder".into()),
+        _ => Ok((settings, config)),
     });
-    match out {
+    match result {
         Ok(_) if flags.check => {
             println!("settings are good");
             exit(0)
         }
-        Ok(both) => both,
+        Ok(loaded) => loaded,
         Err(text) => {
             eprintln!("{text}");
             exit(EXIT_BAD_SETTINGS)
@@ -195,21 +203,22 @@
     }
 }
 
-/// The checked place of settings that came from elsewhere than a file of the product's own; ends when they are wrong.
-pub fn config_or_exit(set: &Settings, from: &str) -> NodeConfig {
-    set.check().unwrap_or_else(|all| {
-        eprintln!("{}", all.iter().map(|f| format!("{from}: {f}")).collect::<Vec<_>>().join("\n"));
+/// Checks settings that were not read by [`load`], such as those of the platform; prints the faults, each after
+/// `source`, and exits if there are any.
+pub fn config_or_exit(settings: &Settings, source: &str) -> NodeConfig {
+    settings.check().unwrap_or_else(|faults| {
+        eprintln!("{}", faults.iter().map(|fault| format!("{source}: {fault}")).collect::<Vec<_>>().join("\n"));
         exit(EXIT_BAD_SETTINGS)
     })
 }
 
-/// Tells what is wrong with settings, and ends.
+/// Prints what is wrong with the settings and exits with [`EXIT_BAD_SETTINGS`].
 pub fn exit_bad_settings(text: &str) -> ! {
     eprintln!("{text}");
     exit(EXIT_BAD_SETTINGS)
 }
 
-/// Ends here if only a check was asked for.
+/// Exits successfully if `--check` was given.
 pub fn exit_if_check_only(flags: &Flags) {
     if flags.check {
         println!("settings are good");
@@ -217,18 +226,23 @@
     }
 }
 
-/// Tells whether settings that were changed could be used; only the log level is taken on at once.
-pub fn apply_reread_settings(env: &Env, set: Result<Settings, String>) {
-    match set.and_then(|s| s.check().map(|_| s).map_err(|all| all.join("; "))) {
-        Ok(s) => {
-            set_log_level(&s.log);
-            env.log(Component::Main, "settings were read again; they are in force from the next start");
+/// Checks settings that were read again and logs whether they are valid. Only the log level takes effect at once.
+pub fn apply_reread_settings(env: &Env, settings: Result<Settings, String>) {
+    match settings.and_then(|s| s.check().map(|_| s).map_err(|faults| faults.join("; "))) {
+        Ok(settings) => {
+            set_log_level(&settings.log);
+            env.log(
+                Component::Main,
+                "settings were read again; the log level is in force, the rest from the next start",
+            );
+        }
+        Err(e) => {
+            env.log(Component::Main, format!("the changed settings are refused, the old ones stay in force: {e}"))
         }
-        Err(e) => env.log(Component::Main, format!("the changed settings are refused, the old ones stay: {e}")),
     }
 }
 
-/// Sets how much is logged.
+/// Sets the log level; a name other than `error`, `warn` and `debug` counts as `info`.
 pub fn set_log_level(level: &str) {
     use spdlog::{Level, LevelFilter};
     let level = match level {
@@ -241,87 +255,88 @@
     spdlog::default_logger().set_flush_level_filter(LevelFilter::All);
 }
 
-/// The real world, with the data folder if one is set.
+/// The system runtime, with the data folder if one is set; exits if the folder can't be created.
 pub fn system_env(data: Option<&str>) -> Env {
     match SystemRuntime::new(data.map(PathBuf::from)) {
-        Ok(w) => Env::new(w as Rc<dyn crate::runtime::Runtime>),
+        Ok(runtime) => Env::new(runtime as Rc<dyn crate::runtime::Runtime>),
         Err(e) => exit_cannot_start(&format!("data folder: {e}")),
     }
 }
 
-/// Tells why the process can't start, and ends it.
+/// Logs why the process can't start and exits with [`EXIT_CANNOT_START`].
 pub fn exit_cannot_start(text: &str) -> ! {
     spdlog::critical!("main: {text}");
     spdlog::default_logger().flush();
     exit(EXIT_CANNOT_START)
 }
 
-/// The signals a process listens to, from before it starts on.
+/// The signals that a process handles, from before its startup work begins.
 pub struct Signals {
-    end: LocalFuture<()>,
-    stop: LocalFuture<()>,
-    reload: LocalFuture<()>,
+    terminate: LocalFuture<()>,
+    interrupt: LocalFuture<()>,
+    hangup: LocalFuture<()>,
 }
 
-const TERM: i32 = 15;
-const INT: i32 = 2;
-const HUP: i32 = 1;
+const SIGTERM: i32 = 15;
+const SIGINT: i32 = 2;
+const SIGHUP: i32 = 1;
 
-/// A listener that is in place when this returns.
-async fn listen(sig: i32) -> LocalFuture<()> {
+/// Returns a future that completes at the next signal of this number. Its handler is installed before this returns.
+async fn listen(signal: i32) -> LocalFuture<()> {
     let mut wait: LocalFuture<()> = Box::pin(async move {
-        let _ = compio::signal::unix::signal(sig).await;
+        let _ = compio::signal::unix::signal(signal).await;
     });
     let _ = futures::poll!(&mut wait);
     wait
 }
 
 impl Signals {
-    /// Listens from now on, so that no signal ends the process by default.
+    /// Installs the handlers, so that from now on none of these signals ends the process by its default action.
     pub async fn new() -> Self {
-        // A listener is gone once it heard its signal; these keep the default actions away for good, so that a signal that
-        // comes again ends nothing that is still being seen to.
-        for signal in [HUP, TERM] {
+        // A handler is removed once it has received its signal. These two are never dropped, so that a repeated signal
+        // can't end the process by its default action while the first one is still being handled.
+        for signal in [SIGHUP, SIGTERM] {
             std::mem::forget(listen(signal).await);
         }
-        Self { end: listen(TERM).await, stop: listen(INT).await, reload: listen(HUP).await }
+        Self { terminate: listen(SIGTERM).await, interrupt: listen(SIGINT).await, hangup: listen(SIGHUP).await }
     }
 
-    /// Whether to end (or else to read the settings again).
-    async fn next(&mut self) -> bool {
-        let ends = select(select(&mut self.end, &mut self.stop), &mut self.reload).await;
-        if matches!(ends, Either::Left(_)) {
+    /// Waits for the next signal: true for SIGTERM and SIGINT (stop), false for SIGHUP (read the settings again).
+    async fn next_is_stop(&mut self) -> bool {
+        let signal = select(select(&mut self.terminate, &mut self.interrupt), &mut self.hangup).await;
+        if matches!(signal, Either::Left(_)) {
             return true;
         }
-        self.reload = listen(HUP).await;
+        self.hangup = listen(SIGHUP).await;
         false
     }
 
-    /// Waits until the process is asked to end.
+    /// Waits for SIGTERM or SIGINT and ignores SIGHUP.
     pub async fn end(mut self) {
-        while !self.next().await {}
+        while !self.next_is_stop().await {}
     }
 
-    /// Serves until asked to end; at each SIGHUP `again` is called.
-    pub async fn until_asked(mut self, env: &Env, mut again: impl FnMut()) {
-        while !self.next().await {
-            again();
+    /// Waits for SIGTERM or SIGINT; calls `reload` at each SIGHUP.
+    pub async fn until_asked(mut self, env: &Env, mut reload: impl FnMut()) {
+        while !self.next_is_stop().await {
+            reload();
         }
         env.log(Component::Main, "going down");
     }
 
-    /// Serves until asked to end; on SIGHUP reads the settings again and hands the good ones to `take`, which says what
-    /// of them is in force now.
-    pub async fn until_end(mut self, env: &Env, flags: &Flags, take: impl Fn(&NodeConfig) -> &'static str) {
-        while !self.next().await {
+    /// Waits for SIGTERM or SIGINT. At each SIGHUP it reads the settings again and passes valid ones to `apply`, which
+    /// returns the names of those that it put in force (for the log).
+    pub async fn until_end(mut self, env: &Env, flags: &Flags, apply: impl Fn(&NodeConfig) -> &'static str) {
+        while !self.next_is_stop().await {
             match load(flags) {
-                Ok((set, place)) => {
-                    set_log_level(&set.log);
-                    let what = take(&place);
-                    let text = format!("settings were read again; {what} and log level are in force");
+                Ok((settings, config)) => {
+                    set_log_level(&settings.log);
+                    let applied = apply(&config);
+                    let text = format!("settings were read again; {applied} and log level are in force");
                     env.log(Component::Main, text + ", the rest from the next start");
                 }
-                Err(e) => env.log(Component::Main, format!("the changed settings are refused, the old ones stay: {e}")),
+                Err(e) => env
+                    .log(Component::Main, format!("the changed settings are refused, the old ones stay in force: {e}")),
             }
         }
         env.log(Component::Main, "going down");
--- a/base/src/bounds.rs
+++ b/base/src/bounds.rs
@@ -1,23 +1,24 @@
-//! The bounds the users gave, and every other span as a ratio to them.
+//! The time bounds from the settings, and all other timeouts and intervals, which are derived from them.
 
 use std::time::Duration;
 
-/// The bounds from the settings, in milliseconds.
+/// The time bounds from the settings, in milliseconds. The `Debug` text of this type is hashed and compared between
+/// processes (see [`Bounds::digest`]), so its fields and their order are part of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long an acknowledged doorway set may go unheeded.
+    /// How long nodes may go on serving by an old configuration after a new one was acknowledged.
     pub blueprint: u64,
-    /// How old a commit a lookup may miss.
+    /// How old a commit may be that a read with bounded consistency does not see.
     pub fresh: u64,
-    /// How long work may still reach an emptied area.
+    /// How long requests may still reach an evacuated zone.
     pub empty: u64,
-    /// How long work may still reach a draining or gone server.
+    /// How long requests may still reach a draining or unreachable server.
     pub drain: u64,
-    /// How long service may stay down after machines return.
+    /// How long service may stay down after the machines are back.
     pub back: u64,
-    /// How long a statement may take at most.
+    /// Timeout of a statement.
     pub statement: u64,
-    /// How long a transaction may sit idle.
+    /// How long a transaction may be idle.
     pub idle: u64,
 }
 
@@ -27,88 +28,92 @@
     }
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 impl Bounds {
-    /// A number that only equal bounds have: processes that count by different ones must not rely on each other.
+    /// A checksum of the bounds, never 0. Processes compare it, because those with different bounds must not rely on
+    /// each other's leases and timeouts.
     pub fn digest(&self) -> u64 {
         u64::from(crc32fast::hash(format!("{self:?}").as_bytes())) | 1 << 32
     }
 
-    /// How often a node beats to its parent: an eighth of the blueprint bound.
+    /// How often a node sends a heartbeat to its parent: an eighth of the `blueprint` bound.
     pub fn node_heartbeat(&self) -> Duration {
         ms(self.blueprint / 8)
     }
 
-    /// How long a confirmation counts from when it was asked for: four fifths of the blueprint bound.
+    /// How long a confirmation by the control nodes is valid, counted from its request: four fifths of the `blueprint`
+    /// bound.
     pub fn confirmation_validity(&self) -> Duration {
         ms(self.blueprint * 4 / 5)
     }
 
-    /// How long a leader or share grant lasts: two thirds of the blueprint bound.
+    /// How long a lease for a primary or for a share of a server's connections lasts: two thirds of the `blueprint`
+    /// bound.
     pub fn lease_duration(&self) -> Duration {
         ms(self.blueprint * 2 / 3)
     }
 
-    /// How long the giver waits before a grant counts as run out: the grant and a tenth, for clocks that differ.
+    /// How long the issuer of a lease waits until it counts as expired: the lease duration and a tenth, since clocks
+    /// run at different rates.
     pub fn lease_expiry_wait(&self) -> Duration {
         self.lease_duration() * 11 / 10
     }
 
-    /// How often hubs beat to each other: a twenty-fourth of the blueprint bound.
+    /// How often control nodes send heartbeats to each other: a twenty-fourth of the `blueprint` bound.
     pub fn control_heartbeat(&self) -> Duration {
         ms(self.blueprint / 24)
     }
 
-    /// How long a hub holds to a leading hub it heard: three pulses.
+    /// How long a control node keeps to a leader after its last heartbeat: three heartbeat intervals.
     pub fn leader_hold(&self) -> Duration {
         self.control_heartbeat() * 3
     }
 
-    /// How long a leading hub may act on an acknowledged pulse: nine tenths of the hold.
+    /// How long the leading control node may act on an acknowledged heartbeat: nine tenths of [`Bounds::leader_hold`].
     pub fn leader_lease(&self) -> Duration {
         self.leader_hold() * 9 / 10
     }
 
-    /// How often a server is asked for its position: a sixth of the freshness bound.
+    /// How often a server's position is requested: a sixth of the `fresh` bound.
     pub fn sampling_interval(&self) -> Duration {
         ms(self.fresh / 6)
     }
 
-    /// How long a server may go unheard before it counts as gone: a quarter of the drain bound.
+    /// How long a server may send no report until it counts as unreachable: a quarter of the `drain` bound.
     pub fn server_gone_after(&self) -> Duration {
         ms(self.drain / 4)
     }
 
-    /// How long a server that confirms commits may leave a question unanswered before it counts as missed: a twelfth
-    /// of the drain bound.
+    /// How long a server that confirms commits may leave a request unanswered until it counts as missed: a twelfth of
+    /// the `drain` bound.
     pub fn server_missed_after(&self) -> Duration {
         ms(self.drain / 12)
     }
 
-    /// How long one call to a peer or server's status may take.
+    /// Timeout of one call to a peer, or for a server's status: a fifth of the `blueprint` bound.
     pub fn call_timeout(&self) -> Duration {
         ms(self.blueprint / 5)
     }
 
-    /// How long a statement may take at most.
+    /// Timeout of a statement, unless the configuration sets another.
     pub fn statement_timeout(&self) -> Duration {
         ms(self.statement)
     }
 
-    /// How long a transaction may sit idle.
+    /// How long a transaction may be idle.
     pub fn transaction_idle_timeout(&self) -> Duration {
         ms(self.idle)
     }
 
-    /// How long work in flight may go on in a place that is being emptied: three fifths of the bound.
+    /// How long requests in progress may go on in a zone that is being evacuated: three fifths of the `empty` bound.
     pub fn evacuation_grace(&self) -> Duration {
         ms(self.empty * 3 / 5)
     }
 
-    /// The freshness bound.
+    /// The freshness bound: how old a commit may be that a read with bounded consistency does not see.
     pub fn freshness_bound(&self) -> Duration {
         ms(self.fresh)
     }
--- a/base/src/edge/backend.rs
+++ b/base/src/edge/backend.rs
@@ -1,4 +1,5 @@
-//! The back ends' form: one HTTP connection is one database connection; reports come by `POST /report`.
+//! The HTTP protocol of the database servers: an HTTP connection is a database connection, and servers report their
+//! state with `POST /report`.
 
 use bytes::Bytes;
 
@@ -6,47 +7,52 @@
 
 use super::client::Verb;
 
-/// Header of an answer: the server's log position.
+/// Response header: the server's log position.
 pub const POSITION_HEADER: &str = "x-position";
-/// Header of an answer: `1` when the server leads.
+/// Response header: `1` if the server is the primary.
 pub const IS_PRIMARY_HEADER: &str = "x-leads";
-/// Header of an answer: `1` when the server is draining.
+/// Response header: `1` if the server is draining.
 pub const DRAINING_HEADER: &str = "x-draining";
-/// Header of an answer: `no` when the server did not take the statement.
+/// Response header: `no` if the server did not execute the statement.
 pub const EXECUTED_HEADER: &str = "x-taken";
-/// Header of an answer: the identity of the server's log, a number that a log begun anew does not share.
+/// Response header: the id of the server's log. A log that is started anew gets another id.
 pub const LOG_ID_HEADER: &str = "x-log";
-/// Header of a request: the line on which the sender believes the server leads.
+/// Request header: the epoch in which the sender expects the server to be the primary.
 pub const EPOCH_HEADER: &str = "x-line";
-/// The path that wipes a connection's session state and any open transaction.
+/// The path that resets a connection's session state and discards any open transaction.
 pub const RESET_PATH: &str = "/reset";
-/// The path that tells the log position.
+/// The path that returns the log position.
 pub const POSITION_PATH: &str = "/position";
 
 strict! {
-    /// What a server says of itself every few moments.
+    /// The periodic report of a server on its own state.
     pub struct ServerReport {
         pub server: String,
+        /// The zone of the server.
         pub area: String,
+        /// Where the server accepts connections.
         pub addr: String,
+        /// Whether it is the primary.
         pub leads: bool,
         pub draining: bool,
-        /// From 0, warm, to 1, stone cold.
+        /// How much its caches still lack: from 0 (warm) to 1 (cold).
         pub cold: f64,
+        /// The epoch of its log position.
         pub line: u64,
+        /// The index of its log position.
         pub index: u64,
-        /// The identity of its log.
+        /// The id of its log.
         pub log: u64 = 0,
-        /// The group it belongs to, where servers make themselves known.
+        /// The group it belongs to, if servers register themselves.
         pub group: String = String::new(),
-        /// Grows with every report of this server, so that a late one is known; 0 where none is counted.
+        /// The sequence number of the report, by which a delayed one is recognized; 0 if reports are not numbered.
         pub turn: u64 = 0,
-        /// It ends now.
+        /// Whether the server is shutting down.
         pub leaving: bool = false,
     }
 }
 
-/// The path of a statement.
+/// The path to which a statement is posted.
 pub fn statement_path(verb: Verb) -> &'static str {
     match verb {
         Verb::Read => "/read",
@@ -59,55 +65,63 @@
     }
 }
 
-/// What a server's answer tells beside its body.
+/// What a server's response states besides its body.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseMetadata {
+    /// The server's log position.
     pub position: Option<Position>,
-    /// The identity of the log, 0 where none is shown.
+    /// The id of the server's log; 0 if not stated.
     pub log_id: u64,
     pub is_primary: bool,
     pub draining: bool,
-    /// The server shows that it did not take the statement.
+    /// The server states that it did not execute the statement.
     pub not_executed: bool,
-    /// The server turned the statement away for load.
+    /// The server rejected the statement because of overload (status 429).
     pub throttled: bool,
-    /// The server failed at the statement.
+    /// The server failed to execute the statement (status 500 or above).
     pub failed: bool,
 }
 
-/// Reads an answer's signs.
-pub fn response_metadata(out: &HttpResponse) -> ResponseMetadata {
+/// Reads the metadata of a response from its status and headers.
+pub fn response_metadata(response: &HttpResponse) -> ResponseMetadata {
     ResponseMetadata {
-        position: out.header(POSITION_HEADER).and_then(|p| p.parse().ok()),
-        log_id: out.header(LOG_ID_HEADER).and_then(|l| l.parse().ok()).unwrap_or(0),
-        is_primary: out.header(IS_PRIMARY_HEADER) == Some("1"),
-        draining: out.header(DRAINING_HEADER) == Some("1"),
-        not_executed: out.header(EXECUTED_HEADER) == Some("no"),
-        throttled: out.status == 429,
-        failed: out.status >= 500,
+        position: response.header(POSITION_HEADER).and_then(|p| p.parse().ok()),
+        log_id: response.header(LOG_ID_HEADER).and_then(|l| l.parse().ok()).unwrap_or(0),
+        is_primary: response.header(IS_PRIMARY_HEADER) == Some("1"),
+        draining: response.header(DRAINING_HEADER) == Some("1"),
+        not_executed: response.header(EXECUTED_HEADER) == Some("no"),
+        throttled: response.status == 429,
+        failed: response.status >= 500,
     }
 }
 
 strict! {
-    /// The call to the platform that names a new leader.
+    /// The request to the platform that promotes a server to primary.
     pub struct PromotionRequest {
         pub group: String,
         pub server: String,
+        /// The epoch that begins with this promotion.
         pub line: u64,
-        /// The log it is named for: one begun anew must not lead.
+        /// The id of the log for which it was elected; a log that was started anew since then must not become primary.
         pub log: u64 = 0,
-        /// The place that log held when it was chosen: one that lost it must not lead.
+        /// The position of that log at its election; a log that has lost it must not become primary.
         pub from: String = String::new(),
     }
 }
 
-/// The path on the platform that names a new leader.
+/// The path of the platform API that promotes a server.
 pub const PROMOTION_PATH: &str = "/lead";
 
-/// The body of the call that names a new leader.
-pub fn promotion_body(group: &str, server: &str, line: u64, log: u64, from: Position) -> Bytes {
+/// The body of a [`PromotionRequest`].
+pub fn promotion_body(group: &str, server: &str, epoch: u64, log_id: u64, start_position: Position) -> Bytes {
     use nanoserde::SerJson;
-    PromotionRequest { group: group.into(), server: server.into(), line, log, from: from.to_string() }
-        .serialize_json()
-        .into()
+    PromotionRequest {
+        group: group.into(),
+        server: server.into(),
+        line: epoch,
+        log: log_id,
+        from: start_position.to_string(),
+    }
+    .serialize_json()
+    .into()
 }
--- a/base/src/edge/operator.rs
+++ b/base/src/edge/operator.rs
@@ -1,22 +1,22 @@
-//! The operators' form: doorway sets, changes to a few, emptied areas, hand-overs.
+//! The HTTP protocol of operators: the configuration, changes to parts of it, evacuated zones and hand-overs.
 
 use crate::strict;
 
-/// How much fresher than its neighbours a doorway's reads must be.
+/// Which commits the reads of a route must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Every acknowledged commit is seen.
+    /// All acknowledged commits.
     Leader,
-    /// Commits older than the freshness bound are seen.
+    /// All commits that are older than the freshness bound.
     Bound,
-    /// The session's own writes are seen.
+    /// The session's own writes.
     Session,
-    /// Any server of the set may answer.
+    /// None in particular: any server of the eligible set may answer.
     Any,
 }
 
 impl Consistency {
-    /// The word in the form.
+    /// The value as operators write it.
     pub fn as_str(self) -> &'static str {
         match self {
             Consistency::Leader => "leader",
@@ -26,44 +26,45 @@
         }
     }
 
-    /// Finds a promise by its word.
-    pub fn parse(word: &str) -> Option<Self> {
+    /// Parses a value as operators write it.
+    pub fn parse(text: &str) -> Option<Self> {
         [Consistency::Leader, Consistency::Bound, Consistency::Session, Consistency::Any]
             .into_iter()
-            .find(|p| p.as_str() == word)
+            .find(|consistency| consistency.as_str() == text)
     }
 }
 
 strict! {
-    /// A database name tied to a group and a promise.
+    /// A route: a database name, with the server group that serves it and the consistency of its reads.
     pub struct Route {
         pub name: String,
         pub group: String,
+        /// The consistency of its reads, as in [`Consistency::as_str`].
         pub promise: String,
-        /// Whether the leader reads when no follower can keep the promise.
+        /// Whether the primary serves reads when no replica can meet the consistency level.
         pub fall: bool = true,
-        /// The operators' own name for it; changes find it by this one, where there is one.
+        /// The operators' own id of the route. If there is one, changes refer to the route by it.
         pub tag: String = String::new(),
-        /// How long a statement may take here, in milliseconds; 0 for the set's limit.
+        /// Timeout of a statement, in milliseconds; 0 for the limit of the whole configuration.
         pub statement_ms: u64 = 0,
-        /// How soon an answer is wanted, in milliseconds; 0 where nothing is said.
+        /// Target response time, in milliseconds; 0 for none.
         pub aim_ms: u64 = 0,
-        /// How old a commit a read may miss, in milliseconds; 0 for the freshness bound.
+        /// How old a commit may be that a read does not see, in milliseconds; 0 for the freshness bound.
         pub fresh_ms: u64 = 0,
-        /// 0 is served first.
+        /// Priority; 0 is served first.
         pub rank: u64 = 0,
-        /// The operators' own form of it, kept and read back unread.
+        /// The operators' own representation, stored and returned without being interpreted.
         pub note: String = String::new(),
     }
 }
 
 impl Route {
-    /// A doorway of which nothing more is said.
-    pub fn with_defaults(name: &str, group: &str, promise: &str) -> Self {
+    /// A route with default values for all other fields.
+    pub fn with_defaults(name: &str, group: &str, consistency: &str) -> Self {
         Self {
             name: name.into(),
             group: group.into(),
-            promise: promise.into(),
+            promise: consistency.into(),
             fall: true,
             tag: String::new(),
             statement_ms: 0,
@@ -74,95 +75,106 @@
         }
     }
 
-    /// The name that changes find it by.
+    /// The id by which changes refer to the route: its tag, or else its name.
     pub fn handle(&self) -> &str {
         if self.tag.is_empty() { &self.name } else { &self.tag }
     }
 }
 
 strict! {
-    /// A group of servers and how many connections each may have.
+    /// A group of servers with one primary.
     pub struct Group {
         pub name: String,
         pub servers: Vec<String>,
+        /// How many connections each server accepts.
         pub cap: u64 = 80,
-        /// The servers confirm commits by themselves once a second one holds them, and make themselves known; sessions
-        /// with them are spoken in the users' manner.
+        /// Whether its servers confirm commits by themselves once a second server holds them, and register themselves;
+        /// sessions with them use the platform's protocol.
         pub confirms: bool = false,
-        /// The operators' own form of it, kept and read back unread.
+        /// The operators' own representation, stored and returned without being interpreted.
         pub note: String = String::new(),
     }
 }
 
 strict! {
-    /// Time limits that operators may change.
+    /// Time limits that operators may change, in milliseconds.
     pub struct Limits {
+        /// Timeout of a statement.
         pub statement_ms: u64 = 4000,
+        /// How long a transaction may be idle.
         pub idle_ms: u64 = 10000,
     }
 }
 
 strict! {
-    /// A whole doorway set. With `after`, it is taken only if that is the newest sequence.
+    /// A whole configuration.
     pub struct Configuration {
+        /// If given, the configuration is accepted only if this is the sequence number of the newest one.
         pub after: Option<u64> = None,
         pub doorways: Vec<Route>,
         pub groups: Vec<Group>,
         pub limits: Option<Limits> = None,
-        /// The operators' own number for the set, which must rise; `after` is then compared with the one in force.
+        /// The operators' own version number, which must rise; `after` is then compared with the one in force.
         pub number: Option<u64> = None,
-        /// The operators' own form of what is said of the whole set, kept and read back unread.
+        /// The operators' own representation of the whole configuration, stored and returned without being interpreted.
         pub note: String = String::new(),
     }
 }
 
 strict! {
-    /// A change to a few doorways and groups, against the sequence named in `after`.
+    /// A change to some routes and groups.
     pub struct ConfigurationChange {
+        /// The sequence number of the configuration that the change is based on.
         pub after: u64,
+        /// Routes to add or replace.
         pub put: Vec<Route> = Vec::new(),
+        /// Ids of routes to remove.
         pub drop: Vec<String> = Vec::new(),
-        /// Groups as they are to be from now on; one server more or less at a time.
+        /// Groups to add or replace; a change may add or remove only one server at a time.
         pub groups: Vec<Group> = Vec::new(),
         pub limits: Option<Limits> = None,
-        /// As in a whole set.
+        /// As in [`Configuration`].
         pub number: Option<u64> = None,
-        /// Names of groups that go.
+        /// Names of groups to remove.
         pub drop_groups: Vec<String> = Vec::new(),
-        /// As in a whole set; empty leaves the old one.
+        /// As in [`Configuration`]; if empty, the old one is kept.
         pub note: String = String::new(),
     }
 }
 
 strict! {
-    /// A whole set as read back.
+    /// The whole configuration as returned to operators.
     pub struct ConfigurationView {
+        /// The sequence number, which rises with each accepted configuration and change.
         pub sequence: u64,
         pub doorways: Vec<Route>,
         pub groups: Vec<Group>,
         pub limits: Limits,
+        /// The evacuated zones.
         pub emptied: Vec<String>,
+        /// The operators' own version number; 0 if they gave none.
         pub number: u64 = 0,
         pub note: String = String::new(),
     }
 }
 
 strict! {
-    /// A wish that a server lead its group.
+    /// A request to make a server the primary of its group.
     pub struct HandoverRequest {
+        /// The name of the server that is to become primary.
         pub server: String,
     }
 }
 
 impl Group {
-    /// A group of servers that the operator names.
+    /// A group of the servers listed by the operator, with default values for all other fields.
     pub fn with_defaults(name: &str, servers: &[String], cap: u64) -> Self {
         Self { name: name.into(), servers: servers.to_vec(), cap, confirms: false, note: String::new() }
     }
 }
 
 impl ConfigurationChange {
-    /// A change of nothing, against a sequence.
+    /// A change without effect, based on the configuration with sequence number `after`.
     pub fn based_on(after: u64) -> Self {
         Self {
             after,
@@ -184,72 +196,79 @@
 }
 
 fn name_fault(what: &str, name: &str) -> Option<String> {
-    let good = !name.is_empty()
+    let is_valid = !name.is_empty()
         && name.len() <= 64
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.');
-    (!good).then(|| format!("{what} {name:?}: a name has 1 to 64 letters, digits, '-', '_' or '.'"))
+    (!is_valid).then(|| format!("{what} {name:?}: a name has 1 to 64 letters, digits, '-', '_' or '.'"))
 }
 
-/// The longest span that a doorway may name, in milliseconds: a day.
-const LONGEST_MS: u64 = 86_400_000;
+/// The longest time that a route may set, in milliseconds: a day.
+const MAX_ROUTE_TIME_MS: u64 = 86_400_000;
 
-/// How many doorways and groups a set may hold. A body and a frame between processes hold no more in any case.
-const MOST_DOORWAYS: usize = 4000;
-const MOST_GROUPS: usize = 1000;
+/// How many routes a configuration may have. Request bodies and frames between processes have no room for more in any
+/// case.
+const MAX_ROUTES: usize = 4000;
+/// How many groups a configuration may have, for the same reason.
+const MAX_GROUPS: usize = 1000;
 
-/// Every fault of a whole set; empty when it can be taken.
-pub fn check(doorways: &[Route], groups: &[Group], limits: &Limits) -> Vec<String> {
-    let mut out = Vec::new();
-    if doorways.len() > MOST_DOORWAYS {
-        out.push(format!("doorways: {} of at most {MOST_DOORWAYS}", doorways.len()));
+/// Lists all faults of a configuration; empty if it is valid.
+pub fn check(routes: &[Route], groups: &[Group], limits: &Limits) -> Vec<String> {
+    let mut faults = Vec::new();
+    if routes.len() > MAX_ROUTES {
+        faults.push(format!("doorways: {} of at most {MAX_ROUTES}", routes.len()));
     }
-    if groups.len() > MOST_GROUPS {
-        out.push(format!("groups: {} of at most {MOST_GROUPS}", groups.len()));
+    if groups.len() > MAX_GROUPS {
+        faults.push(format!("groups: {} of at most {MAX_GROUPS}", groups.len()));
     }
-    let known: std::collections::BTreeSet<&str> = groups.iter().map(|g| g.name.as_str()).collect();
+    let group_names: std::collections::BTreeSet<&str> = groups.iter().map(|g| g.name.as_str()).collect();
     let mut seen = std::collections::BTreeSet::new();
-    for d in doorways {
-        out.extend(name_fault("doorway", &d.name));
-        if !seen.insert(&d.name) {
-            out.push(format!("doorway {:?}: named twice", d.name));
+    for route in routes {
+        faults.extend(name_fault("doorway", &route.name));
+        if !seen.insert(&route.name) {
+            faults.push(format!("doorway {:?}: named twice", route.name));
         }
-        if !known.contains(d.group.as_str()) {
-            out.push(format!("doorway {:?}: no group {:?}", d.name, d.group));
+        if !group_names.contains(route.group.as_str()) {
+            faults.push(format!("doorway {:?}: no group {:?}", route.name, route.group));
         }
-        for (field, span) in [("statement_ms", d.statement_ms), ("aim_ms", d.aim_ms), ("fresh_ms", d.fresh_ms)] {
-            if span > LONGEST_MS {
-                out.push(format!("doorway {:?}: {field} {span} is above {LONGEST_MS}", d.name));
+        for (field, millis) in
+            [("statement_ms", route.statement_ms), ("aim_ms", route.aim_ms), ("fresh_ms", route.fresh_ms)]
+        {
+            if millis > MAX_ROUTE_TIME_MS {
+                faults.push(format!("doorway {:?}: {field} {millis} is above {MAX_ROUTE_TIME_MS}", route.name));
             }
         }
-        if Consistency::parse(&d.promise).is_none() {
-            out.push(format!("doorway {:?}: promise {:?} is not leader, bound, session or any", d.name, d.promise));
+        if Consistency::parse(&route.promise).is_none() {
+            faults.push(format!(
+                "doorway {:?}: promise {:?} is not leader, bound, session or any",
+                route.name, route.promise
+            ));
         }
     }
     let mut seen = std::collections::BTreeSet::new();
-    let mut homes = std::collections::BTreeSet::new();
-    for g in groups {
-        out.extend(name_fault("group", &g.name));
-        if !seen.insert(&g.name) {
-            out.push(format!("group {:?}: named twice", g.name));
+    let mut grouped_servers = std::collections::BTreeSet::new();
+    for group in groups {
+        faults.extend(name_fault("group", &group.name));
+        if !seen.insert(&group.name) {
+            faults.push(format!("group {:?}: named twice", group.name));
         }
-        if (g.servers.is_empty() && !g.confirms) || g.servers.len() > 15 {
-            out.push(format!("group {:?}: {} servers, where 1 to 15 belong", g.name, g.servers.len()));
+        if (group.servers.is_empty() && !group.confirms) || group.servers.len() > 15 {
+            faults.push(format!("group {:?}: {} servers, where 1 to 15 belong", group.name, group.servers.len()));
         }
-        for s in &g.servers {
-            out.extend(name_fault("server", s));
-            if !homes.insert(s) {
-                out.push(format!("server {s:?}: named twice"));
+        for server in &group.servers {
+            faults.extend(name_fault("server", server));
+            if !grouped_servers.insert(server) {
+                faults.push(format!("server {server:?}: named twice"));
             }
         }
-        if !(4..=10000).contains(&g.cap) {
-            out.push(format!("group {:?}: cap {} is not within 4 to 10000", g.name, g.cap));
+        if !(4..=10000).contains(&group.cap) {
+            faults.push(format!("group {:?}: cap {} is not within 4 to 10000", group.name, group.cap));
         }
     }
     if !(100..=600_000).contains(&limits.statement_ms) {
-        out.push(format!("limits: statement_ms {} is not within 100 to 600000", limits.statement_ms));
+        faults.push(format!("limits: statement_ms {} is not within 100 to 600000", limits.statement_ms));
     }
     if !(100..=3_600_000).contains(&limits.idle_ms) {
-        out.push(format!("limits: idle_ms {} is not within 100 to 3600000", limits.idle_ms));
+        faults.push(format!("limits: idle_ms {} is not within 100 to 3600000", limits.idle_ms));
     }
-    out
+    faults
 }
--- a/base/src/error.rs
+++ b/base/src/error.rs
@@ -1,8 +1,8 @@
-//! The closed list of errors and the table from kind to answer.
+//! All error kinds that clients can receive, and the HTTP response to each.
 
 use std::fmt;
 
-/// Every error an outer caller can be answered with.
+/// Every kind of error that a client can receive. The texts are part of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ErrorKind {
     #[error("malformed request")]
@@ -45,7 +45,7 @@
     UnknownPreparedName,
 }
 
-/// What became of a write.
+/// Whether a write has been committed; written to clients as `yes`, `no` or `unknown`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     Committed,
@@ -63,14 +63,14 @@
     }
 }
 
-/// How a kind is answered.
+/// The HTTP response to an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// HTTP code.
+    /// HTTP status code.
     pub status: u16,
-    /// Short name in the body.
+    /// Error code in the body.
     pub name: &'static str,
-    /// Seconds for Retry-After, if coming back makes sense.
+    /// Value of the Retry-After header in seconds, if a retry makes sense.
     pub retry_after_s: Option<u32>,
 }
 
@@ -98,9 +98,9 @@
         ErrorKind::UnknownPreparedName,
     ];
 
-    /// The table from kind to answer.
+    /// The response to this kind; the table in docs/errors.md lists the same values.
     pub fn response(self) -> ErrorResponse {
-        let (code, name, retry) = match self {
+        let (status, name, retry_after_s) = match self {
             ErrorKind::Malformed => (400, "malformed", None),
             ErrorKind::TooLarge => (413, "too-large", None),
             ErrorKind::NoDatabase => (404, "no-database", None),
@@ -121,6 +121,6 @@
             ErrorKind::DiskFull => (507, "no-room", Some(5)),
             ErrorKind::UnknownPreparedName => (404, "no-name", None),
         };
-        ErrorResponse { status: code, name, retry_after_s: retry }
+        ErrorResponse { status, name, retry_after_s }
     }
 }
--- a/base/src/http/server.rs
+++ b/base/src/http/server.rs
@@ -1,3 +1,5 @@
+//! The HTTP server.
+
 use std::{
     cell::{Cell, RefCell},
     convert::Infallible,
@@ -24,44 +26,44 @@
     runtime::{Component, Env, Listener, LocalFuture, Stream},
 };
 
-/// What one connection of a door talks to; dropped when the connection ends.
+/// Handles the requests of one connection; dropped when the connection ends.
 pub trait RequestHandler {
-    /// Answers one request.
-    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse>;
+    /// Handles one request.
+    fn handle(&self, request: HttpRequest) -> LocalFuture<HttpResponse>;
     /// Whether the connection may be closed between two requests.
     fn can_close(&self) -> bool {
         true
     }
 }
 
-/// Bounds and the closing state that all connections of a door share.
+/// An endpoint for connections: their limits and closing state. Clones share the state.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// Rung when the door begins to close.
+    /// Notifies the connections when the closing state changes.
     pub state_changed: Notify,
-    /// Whether each answer ends its connection.
+    /// Whether the endpoint is closing: each connection ends after its next response.
     pub closing: Rc<Cell<bool>>,
-    /// Whether idle connections end too.
+    /// Whether idle connections are closed as well.
     pub closing_idle: Rc<Cell<bool>>,
-    /// Whether sessions end even within a transaction.
+    /// Whether sessions are closed even within a transaction.
     pub closing_transactions: Rc<Cell<bool>>,
-    /// Whether statements that still run are given up on.
+    /// Whether statements in progress are aborted.
     pub aborting_statements: Rc<Cell<bool>>,
-    /// Whether it is about to close, so that no new callers should be sent here.
+    /// Whether the endpoint is about to close, so that no new clients should be directed to it.
     pub draining: Rc<Cell<bool>>,
-    /// How many connections are open.
+    /// The number of open connections.
     pub open_connections: Rc<Cell<usize>>,
-    /// How many may be open.
+    /// How many connections may be open.
     pub max_connections: usize,
-    /// How large a body may be.
+    /// The largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Test switch: a body that was cut short is taken for whole.
+    /// For tests only: whether a truncated body is accepted as complete.
     pub accept_truncated_bodies: Rc<Cell<bool>>,
 }
 
 impl Endpoint {
-    /// A door with bounds on connections and body size.
-    pub fn new(most: usize, body: usize) -> Self {
+    /// An open endpoint with limits on the number of connections and on the size of request bodies.
+    pub fn new(max_connections: usize, max_body_bytes: usize) -> Self {
         Self {
             state_changed: Notify::default(),
             closing: Rc::default(),
@@ -70,54 +72,54 @@
             aborting_statements: Rc::default(),
             draining: Rc::default(),
             open_connections: Rc::default(),
-            max_connections: most,
-            max_body_bytes: body,
+            max_connections,
+            max_body_bytes,
             accept_truncated_bodies: Rc::default(),
         }
     }
 
-    /// Begins to close: no new connections; each one there is ends after its next answer.
+    /// Starts to close: accepts no new connections; each open one ends after its next response.
     pub fn close(&self) {
         self.closing.set(true);
         self.state_changed.notify_waiters();
     }
 
-    /// Ends idle connections too.
+    /// Also closes idle connections.
     pub fn close_idle(&self) {
         self.closing.set(true);
         self.closing_idle.set(true);
         self.state_changed.notify_waiters();
     }
 
-    /// Ends sessions within a transaction too, as soon as nothing of it is being run.
+    /// Also closes sessions within a transaction, as soon as none of its statements is in progress.
     pub fn close_transactions(&self) {
         self.closing_transactions.set(true);
         self.close_idle();
     }
 
-    /// Gives up on whatever still runs: it is answered now, and its connection ends.
+    /// Also aborts statements in progress: they are answered at once, and their connections are closed.
     pub fn abort_statements(&self) {
         self.aborting_statements.set(true);
         self.close_transactions();
     }
 }
 
-/// How many connections over the bound are still told so.
-const CROWD: usize = 64;
+/// How many connections above the limit are accepted to be rejected with an error response.
+const MAX_REJECTED_CONNECTIONS: usize = 64;
 
-/// A connection over the bound: one refusal, then it ends.
-struct Crowd;
+/// The handler of a connection above the limit: sends one error response and closes the connection.
+struct RejectOverloaded;
 
-impl RequestHandler for Crowd {
-    fn handle(&self, _ask: HttpRequest) -> LocalFuture<HttpResponse> {
-        let mut out =
+impl RequestHandler for RejectOverloaded {
+    fn handle(&self, _request: HttpRequest) -> LocalFuture<HttpResponse> {
+        let mut response =
             edge::error_response(ErrorKind::Overloaded, "too many sessions here", Some(WriteOutcome::NotCommitted));
-        out.close = true;
-        Box::pin(async move { out })
+        response.close = true;
+        Box::pin(async move { response })
     }
 }
 
-/// One open connection of a door; counted until it is dropped.
+/// Counts an open connection of an endpoint until it is dropped.
 pub struct ConnectionGuard(Rc<Cell<usize>>);
 
 impl Endpoint {
@@ -134,103 +136,113 @@
     }
 }
 
-/// A listener that its door may give up.
+/// A listener, which is removed when its endpoint closes.
 pub type ListenerSlot = Rc<RefCell<Option<Rc<dyn Listener>>>>;
 
-/// The next connection at a door. Once the door closes the listener is given up, and there is none any more.
-pub async fn accept(env: &Env, sock: &ListenerSlot, door: &Endpoint) -> Box<dyn Stream> {
+/// Accepts the next connection. Once the endpoint closes, the listener is dropped and this waits forever.
+pub async fn accept(env: &Env, slot: &ListenerSlot, endpoint: &Endpoint) -> Box<dyn Stream> {
     loop {
-        let Some(lis) = sock.borrow().clone() else { return std::future::pending().await };
-        let close = door.state_changed.wait_until(|| door.closing.get().then_some(()));
-        match select(lis.accept(), pin!(close)).await {
+        let Some(listener) = slot.borrow().clone() else { return std::future::pending().await };
+        let closing = endpoint.state_changed.wait_until(|| endpoint.closing.get().then_some(()));
+        match select(listener.accept(), pin!(closing)).await {
             Either::Left((Ok(io), _)) => return io,
             Either::Left((Err(e), _)) => {
-                env.log(Component::Door, format!("accept failed: {e}"));
+                env.log(Component::Door, format!("accepting a connection failed: {e}"));
                 env.sleep(std::time::Duration::from_millis(50)).await;
             }
-            Either::Right(_) => drop(sock.borrow_mut().take()),
+            Either::Right(_) => drop(slot.borrow_mut().take()),
         }
     }
 }
 
-/// Accepts connections until the door closes; whoever is in the queue by then is still let in.
+/// Accepts connections until the endpoint closes and serves each with a handler created by `make_handler`. Connections
+/// that are in the listener's queue when the endpoint closes are still accepted.
 pub async fn serve(
     env: Env,
-    sock: ListenerSlot,
-    door: Endpoint,
-    make: Rc<dyn Fn() -> Rc<dyn RequestHandler>>,
+    slot: ListenerSlot,
+    endpoint: Endpoint,
+    make_handler: Rc<dyn Fn() -> Rc<dyn RequestHandler>>,
 ) -> std::io::Result<()> {
     loop {
-        let io = accept(&env, &sock, &door).await;
-        if door.open_connections.get() >= door.max_connections + CROWD {
-            env.log(Component::Door, "too many connections; one was closed unheard");
+        let io = accept(&env, &slot, &endpoint).await;
+        if endpoint.open_connections.get() >= endpoint.max_connections + MAX_REJECTED_CONNECTIONS {
+            env.log(Component::Door, "too many connections; closed one without a response");
             continue;
         }
-        let full = door.open_connections.get() >= door.max_connections;
-        let count = door.count_connection();
-        let sess = if full { Rc::new(Crowd) } else { make() };
-        let door = door.clone();
+        let is_full = endpoint.open_connections.get() >= endpoint.max_connections;
+        let guard = endpoint.count_connection();
+        let handler = if is_full { Rc::new(RejectOverloaded) } else { make_handler() };
+        let endpoint = endpoint.clone();
         env.spawn(async move {
-            let _count = count;
-            one(io, door, sess).await;
+            let _guard = guard;
+            serve_connection(io, endpoint, handler).await;
         })
         .detach();
     }
 }
 
-async fn one(io: Box<dyn Stream>, door: Endpoint, sess: Rc<dyn RequestHandler>) {
-    let call = {
-        let (sess, door) = (sess.clone(), door.clone());
-        service_fn(move |req: Request<Incoming>| {
-            let (sess, door) = (sess.clone(), door.clone());
-            async move {
-                let mut out = match read(req, door.max_body_bytes, door.accept_truncated_bodies.get()).await {
-                    Ok(ask) => sess.handle(ask).await,
-                    Err(kind) => edge::error_response(kind, "", None),
-                };
-                if door.closing.get() && sess.can_close() {
-                    out.close = true;
+async fn serve_connection(io: Box<dyn Stream>, endpoint: Endpoint, handler: Rc<dyn RequestHandler>) {
+    let service =
+        {
+            let (handler, endpoint) = (handler.clone(), endpoint.clone());
+            service_fn(move |request: Request<Incoming>| {
+                let (handler, endpoint) = (handler.clone(), endpoint.clone());
+                async move {
+                    let mut response =
+                        match read_request(request, endpoint.max_body_bytes, endpoint.accept_truncated_bodies.get())
+                            .await
+                        {
+                            Ok(request) => handler.handle(request).await,
+                            Err(kind) => edge::error_response(kind, "", None),
+                        };
+                    if endpoint.closing.get() && handler.can_close() {
+                        response.close = true;
+                    }
+                    Ok::<_, Infallible>(build_response(response))
                 }
-                Ok::<_, Infallible>(write(out))
-            }
-        })
-    };
-    let conn = http1::Builder::new().serve_connection(io, call);
-    pin_mut!(conn);
-    let mut told = false;
+            })
+        };
+    let connection = http1::Builder::new().serve_connection(io, service);
+    pin_mut!(connection);
+    let mut is_shutting_down = false;
     loop {
-        let bell = door.state_changed.clone();
-        let seen = bell.generation();
-        if door.closing_idle.get() && !told && sess.can_close() {
-            told = true;
-            conn.as_mut().graceful_shutdown();
+        let state_changed = endpoint.state_changed.clone();
+        let seen = state_changed.generation();
+        if endpoint.closing_idle.get() && !is_shutting_down && handler.can_close() {
+            is_shutting_down = true;
+            connection.as_mut().graceful_shutdown();
         }
-        let ring = bell.changed_since(seen).fuse();
-        pin_mut!(ring);
+        let change = state_changed.changed_since(seen).fuse();
+        pin_mut!(change);
         select_biased! {
-            _ = poll_fn(|cx| match conn.as_mut().poll(cx) {
+            _ = poll_fn(|cx| match connection.as_mut().poll(cx) {
                 Poll::Ready(_) => Poll::Ready(()),
                 Poll::Pending => Poll::Pending,
             }).fuse() => return,
-            _ = ring => {}
+            _ = change => {}
         }
     }
 }
 
-async fn read(req: Request<Incoming>, most: usize, cut: bool) -> Result<HttpRequest, ErrorKind> {
-    let (head, body) = req.into_parts();
-    let mut body = Limited::new(body, most);
-    let mut came: Vec<u8> = Vec::new();
-    let all = loop {
+/// Reads the whole request; `accept_truncated` is for tests only.
+async fn read_request(
+    request: Request<Incoming>,
+    max_body_bytes: usize,
+    accept_truncated: bool,
+) -> Result<HttpRequest, ErrorKind> {
+    let (head, body) = request.into_parts();
+    let mut body = Limited::new(body, max_body_bytes);
+    let mut received: Vec<u8> = Vec::new();
+    let result = loop {
         match body.frame().await {
-            None => break Ok(Bytes::from(came)),
-            Some(Ok(f)) => came.extend_from_slice(f.data_ref().map_or(&[][..], |d| d)),
-            Some(Err(_)) if cut => break Ok(Bytes::from(came)),
+            None => break Ok(Bytes::from(received)),
+            Some(Ok(frame)) => received.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d)),
+            Some(Err(_)) if accept_truncated => break Ok(Bytes::from(received)),
             Some(Err(e)) => break Err(e),
         }
     };
-    let body = match all {
-        Ok(b) => b,
+    let body = match result {
+        Ok(body) => body,
         Err(e) if e.is::<LengthLimitError>() => return Err(ErrorKind::TooLarge),
         Err(_) => return Err(ErrorKind::Malformed),
     };
@@ -238,17 +250,17 @@
     Ok(HttpRequest { method: head.method, path, headers: head.headers, body })
 }
 
-fn write(out: HttpResponse) -> Response<Full<Bytes>> {
-    let mut res = Response::builder().status(out.status);
-    for (n, v) in &out.headers {
-        res = res.header(n, v);
+fn build_response(response: HttpResponse) -> Response<Full<Bytes>> {
+    let mut builder = Response::builder().status(response.status);
+    for (name, value) in &response.headers {
+        builder = builder.header(name, value);
     }
-    if out.close {
-        res = res.header("connection", "close");
+    if response.close {
+        builder = builder.header("connection", "close");
     }
-    res.body(Full::new(out.body)).unwrap_or_else(|_| {
-        let mut r = Response::new(Full::new(Bytes::new()));
-        *r.status_mut() = hyper::StatusCode::INTERNAL_SERVER_ERROR;
-        r
+    builder.body(Full::new(response.body)).unwrap_or_else(|_| {
+        let mut response = Response::new(Full::new(Bytes::new()));
+        *response.status_mut() = hyper::StatusCode::INTERNAL_SERVER_ERROR;
+        response
     })
 }
--- a/base/src/lib.rs
+++ b/base/src/lib.rs
@@ -1,4 +1,5 @@
-//! House words shared by every part: seams to the outside, errors, bounds, settings, outer HTTP forms.
+//! Types shared by all crates: runtime abstraction, errors, time bounds, settings, HTTP, and the client, server and
+//! operator protocols.
 
 pub mod boot;
 pub mod bounds;
--- a/base/src/loop_lag.rs
+++ b/base/src/loop_lag.rs
@@ -1,48 +1,48 @@
-//! How late the tasks of this process run: the sign that it is short of processor time.
+//! Measures how late timers fire in this process: a sign that it is short of processor time.
 
 use std::{cell::Cell, convert::Infallible, rc::Rc, time::Duration};
 
 use crate::runtime::{Component, Env};
 
-/// At most one log line in so many steps.
-const STEPS_PER_LINE: u32 = 8;
+/// After a log line, none is written for this many intervals.
+const INTERVALS_BETWEEN_LOG_LINES: u32 = 8;
 
 /// Measures by how much a timer fires late.
 pub struct LoopLag {
     env: Env,
-    step: Duration,
+    interval: Duration,
     latest: Cell<Duration>,
     worst: Cell<Duration>,
 }
 
 impl LoopLag {
-    /// A measurement every `step`; a timer that is late by half of that is logged.
-    pub fn new(env: &Env, step: Duration) -> Rc<Self> {
-        Rc::new(Self { env: env.clone(), step, latest: Cell::default(), worst: Cell::default() })
+    /// Measures once every `interval`; a delay of more than half of it is logged.
+    pub fn new(env: &Env, interval: Duration) -> Rc<Self> {
+        Rc::new(Self { env: env.clone(), interval, latest: Cell::default(), worst: Cell::default() })
     }
 
-    /// The newest measurement.
+    /// The delay measured last.
     pub fn newest(&self) -> Duration {
         self.latest.get()
     }
 
-    /// The worst since the start.
+    /// The longest delay since the start.
     pub fn worst(&self) -> Duration {
         self.worst.get()
     }
 
-    /// Measures for as long as the process runs.
+    /// Measures until the returned future is dropped.
     pub async fn watch(self: Rc<Self>) -> Result<(), Infallible> {
         let mut quiet_until = Duration::ZERO;
         loop {
-            let due = self.env.now() + self.step;
-            self.env.sleep(self.step).await;
-            let late = self.env.now().saturating_sub(due);
-            self.latest.set(late);
-            self.worst.set(self.worst.get().max(late));
-            if late > self.step / 2 && self.env.now() >= quiet_until {
-                quiet_until = self.env.now() + self.step * STEPS_PER_LINE;
-                self.env.log(Component::Main, format!("tasks run {} ms late", late.as_millis()));
+            let expected = self.env.now() + self.interval;
+            self.env.sleep(self.interval).await;
+            let delay = self.env.now().saturating_sub(expected);
+            self.latest.set(delay);
+            self.worst.set(self.worst.get().max(delay));
+            if delay > self.interval / 2 && self.env.now() >= quiet_until {
+                quiet_until = self.env.now() + self.interval * INTERVALS_BETWEEN_LOG_LINES;
+                self.env.log(Component::Main, format!("tasks run {} ms late", delay.as_millis()));
             }
         }
     }
--- a/base/src/notify.rs
+++ b/base/src/notify.rs
@@ -1,4 +1,4 @@
-//! A bell that wakes every waiter when something changed.
+//! Notification of all waiting tasks after a change.
 
 use std::{
     cell::{Cell, RefCell},
@@ -7,50 +7,50 @@
     task::{Poll, Waker},
 };
 
-/// Rung by an owner after a change; waiters look again.
+/// Wakes all waiting tasks after a change; clones share their waiters.
 #[derive(Clone, Default)]
 pub struct Notify(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
-    count: Cell<u64>,
+    generation: Cell<u64>,
     wakers: RefCell<Vec<Waker>>,
 }
 
 impl Notify {
-    /// How often the bell was rung; pass it to [`Bell::after`].
+    /// The number of notifications so far; pass it to [`Notify::changed_since`].
     pub fn generation(&self) -> u64 {
-        self.0.count.get()
+        self.0.generation.get()
     }
 
-    /// Wakes all waiters.
+    /// Wakes all waiting tasks.
     pub fn notify_waiters(&self) {
-        self.0.count.set(self.0.count.get() + 1);
-        let all = std::mem::take(&mut *self.0.wakers.borrow_mut());
-        all.into_iter().for_each(Waker::wake);
+        self.0.generation.set(self.0.generation.get() + 1);
+        let wakers = std::mem::take(&mut *self.0.wakers.borrow_mut());
+        wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// Waits until the bell has been rung since `seen`.
+    /// Waits until there has been a notification after generation `seen`.
     pub async fn changed_since(&self, seen: u64) {
         poll_fn(|cx| {
-            if self.0.count.get() != seen {
+            if self.0.generation.get() != seen {
                 return Poll::Ready(());
             }
-            let mut all = self.0.wakers.borrow_mut();
-            if !all.iter().any(|w| w.will_wake(cx.waker())) {
-                all.push(cx.waker().clone());
+            let mut wakers = self.0.wakers.borrow_mut();
+            if !wakers.iter().any(|w| w.will_wake(cx.waker())) {
+                wakers.push(cx.waker().clone());
             }
             Poll::Pending
         })
         .await
     }
 
-    /// Waits until `test` gives something, looking again at each ring.
-    pub async fn wait_until<T>(&self, mut test: impl FnMut() -> Option<T>) -> T {
+    /// Waits until `condition` returns a value; it is evaluated at once and again after each notification.
+    pub async fn wait_until<T>(&self, mut condition: impl FnMut() -> Option<T>) -> T {
         loop {
             let seen = self.generation();
-            if let Some(out) = test() {
-                return out;
+            if let Some(value) = condition() {
+                return value;
             }
             self.changed_since(seen).await;
         }
--- a/base/src/permits.rs
+++ b/base/src/permits.rs
@@ -1,36 +1,36 @@
-//! A bound on how much of one kind may be under way at once.
+//! A limit on the number of concurrent operations of one kind.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Hands out up to a fixed number of permits at a time; clones share the count.
+/// Issues up to a fixed number of permits at a time; clones share the count.
 #[derive(Clone, Debug)]
 pub struct Permits {
     in_use: Rc<Cell<usize>>,
-    most: usize,
+    max: usize,
 }
 
-/// One permit; it is given back when it is dropped.
+/// One permit; it is released when it is dropped.
 #[derive(Debug)]
 pub struct Permit {
-    used: Rc<Cell<usize>>,
+    in_use: Rc<Cell<usize>>,
 }
 
 impl Permits {
-    /// Permits of which `most` may be out at once.
-    pub fn new(most: usize) -> Self {
-        Self { in_use: Rc::default(), most }
+    /// A limit of `max` permits at a time.
+    pub fn new(max: usize) -> Self {
+        Self { in_use: Rc::default(), max }
     }
 
-    /// A permit, or nothing while all are out.
+    /// Acquires a permit; `None` while all are in use.
     pub fn try_acquire(&self) -> Option<Permit> {
-        if self.in_use.get() >= self.most {
+        if self.in_use.get() >= self.max {
             return None;
         }
         self.in_use.set(self.in_use.get() + 1);
-        Some(Permit { used: self.in_use.clone() })
+        Some(Permit { in_use: self.in_use.clone() })
     }
 
-    /// How many are out.
+    /// The number of permits in use.
     pub fn used(&self) -> usize {
         self.in_use.get()
     }
@@ -38,6 +38,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.used.set(self.used.get() - 1);
+        self.in_use.set(self.in_use.get() - 1);
     }
 }
--- a/base/src/protocol/mod.rs
+++ b/base/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! What callers and servers say to each other in sessions, in the product's own words. A form (an outer manner of
-//! speaking) translates; nothing here knows how any of it looks on a wire.
+//! Sessions of clients and servers: statements and their responses, independent of any wire format. The protocols of
+//! clients and servers translate between these types and their own formats.
 
 mod request;
 mod server;
@@ -11,55 +11,59 @@
 };
 pub use session::{DatabaseSession, SessionProvider, StatementError, StatementResponse, TransactionState};
 
-/// What a statement asks for.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// Opens a transaction; one that only reads may run on a follower.
+    /// Opens a transaction; one that only reads may run on a replica.
     Begin {
+        /// Whether the transaction only reads.
         reads: bool,
     },
     Commit,
     Rollback,
     Read,
     Write,
-    /// Sets a session value.
+    /// Sets a value of the session state.
     Set,
-    /// Prepares a name for a statement that reads or writes.
+    /// Prepares a statement under a name.
     Prepare {
         writes: bool,
     },
-    /// Runs a prepared name.
+    /// Executes a prepared statement.
     Execute,
-    /// Forgets a prepared name.
+    /// Removes a prepared statement.
     Deallocate,
-    /// Asked of a server only: forget all values and names of the session.
+    /// Sent to servers only: discards all values and prepared statements of the session.
     ResetSession,
-    /// Asked of a server only: where it stands.
+    /// Sent to servers only: requests the server's replication status.
     Status,
-    /// Asked of a server only: receive nothing more until freed, ahead of an election of this line.
+    /// Sent to servers only: suspends replication until it is resumed, before the election of this epoch.
     SuspendReplication {
         line: u64,
     },
-    /// Asked of a server only: follow, if it leads on an earlier line.
+    /// Sent to servers only: makes the server a replica if it is the primary of an earlier epoch.
     StepDown {
         line: u64,
     },
-    /// Asked of a server only: receive again.
+    /// Sent to servers only: resumes replication.
     ResumeReplication,
 }
 
-/// One statement. The text is the sender's own and goes on unread; `name` is a session value's or a prepared one's.
+/// One statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
+    /// The id that the client gave it; empty if there is none.
     pub id: String,
     pub kind: StatementKind,
+    /// The name of the session value or of the prepared statement.
     pub name: String,
+    /// The text as the client sent it; it is forwarded without being parsed.
     pub text: String,
 }
 
 impl Statement {
-    /// A statement of the product's own.
-    pub fn internal(act: StatementKind) -> Self {
-        Self { id: String::new(), kind: act, name: String::new(), text: String::new() }
+    /// A statement that does not come from a client.
+    pub fn internal(kind: StatementKind) -> Self {
+        Self { id: String::new(), kind, name: String::new(), text: String::new() }
     }
 }
--- a/base/src/protocol/request.rs
+++ b/base/src/protocol/request.rs
@@ -1,17 +1,18 @@
-//! Statements by whether they may be sent again. The two are types of their own, so that only what changes nothing can be
-//! handed to a retry: a [`Once`] can't be copied, sending takes it away, and it comes back only where it surely was not run.
+//! Statements classified by whether they may be sent more than once. There is a type for each class, so that only
+//! statements without effect can be retried: a [`Once`] can't be copied, sending consumes it, and it is returned only
+//! if it certainly was not executed.
 
 use super::{Statement, StatementKind};
 
-/// A statement that changes nothing: it may be sent again, and to more than one server.
+/// A statement that changes nothing: it may be sent again, also to several servers.
 #[derive(Clone, Debug)]
 pub struct Repeatable(Statement);
 
-/// A statement that may take effect.
+/// A statement that may have an effect: it must be sent at most once.
 #[derive(Debug)]
 pub struct Once(Statement);
 
-/// A statement, sorted.
+/// A classified statement.
 #[derive(Debug)]
 pub enum Request {
     Repeatable(Repeatable),
@@ -19,32 +20,33 @@
 }
 
 impl Request {
-    /// Sorts a statement by whether it may write.
-    pub fn classify(said: Statement, writes: bool) -> Self {
-        let reads = !writes && matches!(said.kind, StatementKind::Read | StatementKind::Execute);
-        if reads { Self::Repeatable(Repeatable(said)) } else { Self::Once(Once(said)) }
+    /// Classifies a statement. Reads, and executions of prepared statements, are repeatable unless the statement
+    /// `writes`.
+    pub fn classify(statement: Statement, writes: bool) -> Self {
+        let reads = !writes && matches!(statement.kind, StatementKind::Read | StatementKind::Execute);
+        if reads { Self::Repeatable(Repeatable(statement)) } else { Self::Once(Once(statement)) }
     }
 }
 
 impl Repeatable {
-    /// The opening of a transaction, of which nothing is kept before its commit; `None` where it is something else.
-    pub fn begin(said: &Statement) -> Option<Self> {
-        matches!(said.kind, StatementKind::Begin { .. }).then(|| Self(said.clone()))
+    /// The start of a transaction, which has no effect before its commit; `None` for any other statement.
+    pub fn begin(statement: &Statement) -> Option<Self> {
+        matches!(statement.kind, StatementKind::Begin { .. }).then(|| Self(statement.clone()))
     }
 
-    /// What is said.
+    /// The statement.
     pub fn statement(&self) -> &Statement {
         &self.0
     }
 }
 
 impl Once {
-    /// A statement of which it is not known, or does not matter, that it changes nothing.
-    pub fn new(said: Statement) -> Self {
-        Self(said)
+    /// A statement that may have an effect, or that is not to be repeated for another reason.
+    pub fn new(statement: Statement) -> Self {
+        Self(statement)
     }
 
-    /// What is said; to look at, or to send together with taking this.
+    /// The statement, to inspect it, or to send it while consuming this value.
     pub fn statement(&self) -> &Statement {
         &self.0
     }
--- a/base/src/protocol/server.rs
+++ b/base/src/protocol/server.rs
@@ -1,3 +1,5 @@
+//! Connections to servers, and the promotion of a primary by the platform.
+
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
@@ -6,87 +8,89 @@
 use super::{Statement, TransactionState};
 use crate::{http::CallError, position::Position, runtime::Env, runtime::LocalFuture};
 
-/// Why a server did not run a statement: nothing of it is kept.
+/// Why a server did not execute a statement, which therefore had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No room for it now.
+    /// The server has no capacity at present.
     Busy,
-    /// The log lacks the position that was asked for.
+    /// The server's log does not yet hold the requested position.
     Behind,
-    /// The server does not lead.
+    /// The server is not the primary.
     NotPrimary,
-    /// Another server or group answers there.
+    /// The address belongs to another server or group.
     WrongServer,
-    /// A prepared name is not known.
+    /// There is no prepared statement of this name.
     UnknownPreparedName,
 }
 
-/// How a server's answer ended.
+/// The outcome of a statement at a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// Done; the server's own mark of it.
+    /// Executed; holds the result tag that the server gave.
     Done(String),
+    /// Not executed.
     Refused(RefusalReason),
-    /// It was run and failed.
+    /// Executed and failed.
     Failed,
-    /// It was run and took too long at the server.
+    /// Executed, and exceeded the time limit at the server.
     Expired,
 }
 
-/// A server's word about itself.
+/// The replication status that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicationStatus {
     pub is_primary: bool,
-    /// The newest line the server knows.
+    /// The newest epoch known to the server.
     pub epoch: u64,
     /// The newest position received.
     pub position: Position,
-    /// The line for whose election it receives nothing; 0 where it receives.
+    /// The epoch for whose election replication is suspended; 0 if it is not suspended.
     pub suspended_for_epoch: u64,
-    /// Milliseconds that what it applies is behind what it received.
+    /// How far the applied entries lag behind the received ones, in milliseconds.
     pub apply_lag_ms: u64,
 }
 
-/// A server's whole answer.
+/// A server's whole reply to a statement.
 #[derive(Clone, Debug)]
 pub struct ServerReply {
     pub rows: Vec<Bytes>,
     pub outcome: ServerOutcome,
+    /// The state of the transaction after the statement.
     pub transaction: TransactionState,
-    /// The position the server shows, applied.
+    /// The applied log position that the server reports.
     pub position: Option<Position>,
-    /// Where a server was asked where it stands.
+    /// The replication status, if it was requested.
     pub status: Option<ReplicationStatus>,
 }
 
-/// One connection to a server, one statement at a time.
+/// One connection to a server, for one statement at a time.
 pub trait ServerConnection {
-    /// Says one statement and waits for its whole answer; with `after`, a server whose log lacks it refuses. A future
-    /// that is dropped leaves the connection unusable.
+    /// Executes one statement and waits for its whole reply. With `after`, a server whose log does not hold that
+    /// position refuses it. The connection is unusable after the future was dropped before its end.
     fn execute<'a>(
         &'a mut self,
-        said: &'a Statement,
+        statement: &'a Statement,
         after: Option<Position>,
     ) -> LocalBoxFuture<'a, Result<ServerReply, CallError>>;
-    /// Whether it can still carry a statement: looks whether the other side ended it.
+    /// Whether the connection can be used for another statement; checks whether the server has closed it.
     fn is_open(&mut self) -> bool;
 }
 
-/// The call that names a new leader.
+/// The promotion of a server to primary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promotion {
     pub group: String,
     pub server: String,
-    /// The control node that holds the duty.
+    /// The control node that requests the promotion.
     pub holder: String,
-    /// Rises whenever the holder changes.
+    /// A number that rises whenever the holder changes, so that requests of an earlier holder are rejected.
     pub fencing_token: u64,
 }
 
-/// A manner of speaking to servers and platform.
+/// The protocol for connections to servers and for promotions at the platform.
 pub trait ServerProtocol {
-    /// Opens a session at a server of a group. `Unsent` where nobody listens, `Unsure` where one is there and takes no
-    /// session.
+    /// Opens a session at a server of a group. The error is `NotSent` if no server listens at the address, and
+    /// `OutcomeUnknown` if one listens but opens no session.
     fn open(
         &self,
         env: &Env,
@@ -94,12 +98,12 @@
         group: &str,
         server: &str,
     ) -> LocalFuture<Result<Box<dyn ServerConnection>, CallError>>;
-    /// Tells the platform who is to lead; the answer's code.
+    /// Requests a promotion from the platform; returns the status of the response.
     fn promote(
         &self,
         env: &Env,
         addr: SocketAddr,
-        naming: &Promotion,
-        span: Duration,
+        promotion: &Promotion,
+        timeout: Duration,
     ) -> LocalFuture<Result<u16, CallError>>;
 }
--- a/base/src/protocol/session.rs
+++ b/base/src/protocol/session.rs
@@ -1,3 +1,5 @@
+//! Sessions of clients and the responses to their statements.
+
 use std::{rc::Rc, time::Duration};
 
 use bytes::Bytes;
@@ -12,25 +14,27 @@
 /// Whether a session is in a transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
+    /// Outside a transaction.
     #[default]
     Idle,
+    /// Within a transaction.
     Open,
-    /// The transaction failed; ending it rolls back.
+    /// The transaction has failed; its end rolls it back.
     Failed,
 }
 
-/// Why a statement brought nothing, and what is certain of it.
+/// Why a statement failed, and whether it had an effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementError {
     pub kind: ErrorKind,
-    /// `No` is a promise that nothing of the whole transaction or single statement is kept.
+    /// `NotCommitted` guarantees that nothing of the whole transaction, or of the single statement, is committed.
     pub outcome: WriteOutcome,
-    /// When to come back, where that makes sense.
+    /// After which time to retry, if a retry makes sense.
     pub retry_after: Option<Duration>,
 }
 
 impl StatementError {
-    /// A refusal of which nothing is kept; the table says when to come back.
+    /// An error of a statement that had no effect; the delay of a retry is that of the error kind.
     pub fn not_committed(kind: ErrorKind) -> Self {
         Self {
             kind,
@@ -39,34 +43,36 @@
         }
     }
 
-    /// An end of which nothing is certain.
+    /// An error of a statement that may have had an effect.
     pub fn outcome_unknown(kind: ErrorKind) -> Self {
         Self { outcome: WriteOutcome::Unknown, ..Self::not_committed(kind) }
     }
 }
 
-/// The answer to one statement of a caller.
+/// The response to one statement of a client.
 #[derive(Clone, Debug)]
 pub struct StatementResponse {
     pub rows: Vec<Bytes>,
-    /// The server's mark, empty where this node answered by itself.
+    /// The result tag of the server; empty if this node answered by itself.
     pub result: Result<String, StatementError>,
+    /// The state of the transaction after the statement.
     pub transaction: TransactionState,
+    /// The log position that the server reported.
     pub position: Option<Position>,
 }
 
-/// One caller's session; dropped when its connection ends.
+/// The session of one client; dropped when its connection ends.
 pub trait DatabaseSession {
-    /// Answers one statement.
-    fn execute(&self, said: Statement) -> LocalFuture<StatementResponse>;
-    /// Whether the session may be closed now without anything lost.
+    /// Executes one statement.
+    fn execute(&self, statement: Statement) -> LocalFuture<StatementResponse>;
+    /// Whether the session can be closed at present without loss.
     fn can_close(&self) -> bool;
 }
 
-/// What a door for sessions opens them at.
+/// Opens the sessions of an endpoint.
 pub trait SessionProvider {
-    /// A session for a database.
-    fn open_session(&self, name: &str) -> Result<Rc<dyn DatabaseSession>, StatementError>;
-    /// Whether this node can do its work now, so that new callers should be sent here.
+    /// Opens a session for a database.
+    fn open_session(&self, database: &str) -> Result<Rc<dyn DatabaseSession>, StatementError>;
+    /// Whether this node can serve sessions at present, so that new clients should be directed to it.
     fn is_ready(&self) -> bool;
 }
--- a/base/src/runtime/env.rs
+++ b/base/src/runtime/env.rs
@@ -1,3 +1,5 @@
+//! The handle through which tasks use the runtime.
+
 use std::{
     future::{Future, poll_fn},
     io,
@@ -15,21 +17,21 @@
 
 use super::{Component, Disk, Listener, Runtime, Stream};
 
-/// A handle to the world a task runs in; cheap to clone.
+/// A handle to the runtime, through which tasks use clock, network, disk and randomness; cheap to clone.
 #[derive(Clone)]
 pub struct Env(Rc<dyn Runtime>);
 
-/// A span ran out before the work was done.
+/// A timeout passed before the operation was complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the due passed")]
+#[error("timed out")]
 pub struct TimedOut;
 
-/// A started task, ended when this is dropped.
-#[must_use = "a job ends when dropped"]
+/// A spawned task, which is aborted when this is dropped.
+#[must_use = "the task is aborted when its guard is dropped"]
 pub struct TaskGuard(Option<AbortHandle>);
 
 impl TaskGuard {
-    /// Lets the task run on by itself.
+    /// Lets the task run to its end without a guard.
     pub fn detach(mut self) {
         self.0 = None;
     }
@@ -37,29 +39,29 @@
 
 impl Drop for TaskGuard {
     fn drop(&mut self) {
-        if let Some(h) = &self.0 {
-            h.abort();
+        if let Some(handle) = &self.0 {
+            handle.abort();
         }
     }
 }
 
 impl Env {
-    /// Wraps a world.
-    pub fn new(world: Rc<dyn Runtime>) -> Self {
-        Self(world)
+    /// Wraps a runtime.
+    pub fn new(runtime: Rc<dyn Runtime>) -> Self {
+        Self(runtime)
     }
 
-    /// Time since the world's start.
+    /// Monotonic time since some fixed start.
     pub fn now(&self) -> Duration {
         self.0.now()
     }
 
-    /// Waits for a span.
-    pub async fn sleep(&self, span: Duration) {
-        self.0.sleep(span).await
+    /// Waits for a duration.
+    pub async fn sleep(&self, duration: Duration) {
+        self.0.sleep(duration).await
     }
 
-    /// Lets other tasks run first.
+    /// Yields to the other tasks once.
     pub async fn yield_now(&self) {
         let mut was_polled = false;
         poll_fn(|cx| {
@@ -72,18 +74,18 @@
         .await
     }
 
-    /// Starts a task; it ends with the returned job.
+    /// Spawns a task; it is aborted when the returned guard is dropped.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> TaskGuard {
-        let (hand, reg) = AbortHandle::new_pair();
-        self.0.spawn(Box::pin(Abortable::new(task, reg).map(|_| ())));
-        TaskGuard(Some(hand))
+        let (handle, registration) = AbortHandle::new_pair();
+        self.0.spawn(Box::pin(Abortable::new(task, registration).map(|_| ())));
+        TaskGuard(Some(handle))
     }
 
-    /// Runs a future for at most `span`.
-    pub async fn timeout<T>(&self, span: Duration, work: impl Future<Output = T>) -> Result<T, TimedOut> {
-        let work = pin!(work);
-        match select(work, self.0.sleep(span)).await {
-            Either::Left((out, _)) => Ok(out),
+    /// Runs a future for at most `duration`, and drops it then.
+    pub async fn timeout<T>(&self, duration: Duration, operation: impl Future<Output = T>) -> Result<T, TimedOut> {
+        let operation = pin!(operation);
+        match select(operation, self.0.sleep(duration)).await {
+            Either::Left((output, _)) => Ok(output),
             Either::Right(_) => Err(TimedOut),
         }
     }
@@ -93,20 +95,20 @@
         self.0.rand()
     }
 
-    /// A random number below `top`.
-    pub fn rand_below(&self, top: u64) -> u64 {
-        if top == 0 { 0 } else { self.0.rand() % top }
+    /// A random number below `limit`; 0 if that is 0.
+    pub fn rand_below(&self, limit: u64) -> u64 {
+        if limit == 0 { 0 } else { self.0.rand() % limit }
     }
 
-    /// Binds an address.
+    /// Binds an address and listens on it.
     pub async fn listen(&self, addr: SocketAddr) -> io::Result<Rc<dyn Listener>> {
         self.0.listen(addr).await
     }
 
-    /// Opens a stream within `span`.
-    pub async fn connect(&self, addr: SocketAddr, span: Duration) -> io::Result<Box<dyn Stream>> {
-        match self.timeout(span, self.0.connect(addr)).await {
-            Ok(r) => r,
+    /// Opens a stream to an address; fails with `io::ErrorKind::TimedOut` after `timeout`.
+    pub async fn connect(&self, addr: SocketAddr, timeout: Duration) -> io::Result<Box<dyn Stream>> {
+        match self.timeout(timeout, self.0.connect(addr)).await {
+            Ok(result) => result,
             Err(TimedOut) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
@@ -116,12 +118,12 @@
         self.0.disk()
     }
 
-    /// Writes a log line under the part's prefix.
-    pub fn log(&self, part: Component, text: impl AsRef<str>) {
-        self.0.log(part, text.as_ref())
+    /// Writes a log line with the component's prefix.
+    pub fn log(&self, component: Component, text: impl AsRef<str>) {
+        self.0.log(component, text.as_ref())
     }
 
-    /// Ends the process, as after a failed sync.
+    /// Ends the process after an unrecoverable error, such as a failed sync.
     pub fn abort_process(&self, text: &str) {
         self.0.abort_process(text)
     }
--- a/base/src/runtime/mod.rs
+++ b/base/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The seams through which product code meets clock, net, disk, tasks and chance.
+//! The runtime abstraction: clock, network, disk, tasks and randomness, so that the same code runs on a machine and in
+//! the simulator.
 
 mod env;
 mod system;
@@ -8,35 +9,35 @@
 pub use system::SystemRuntime;
 pub use traits::{Disk, Listener, LocalFuture, Runtime, Stream};
 
-/// The part of a process that writes a log line; each has a fixed prefix.
+/// The component that writes a log line; each has a fixed prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Component {
     Main,
-    Tree,
+    Supervisor,
     Door,
     Pool,
     Pick,
     Relay,
     Agree,
     Elect,
-    Grant,
+    Lease,
     Disk,
     Kit,
 }
 
 impl Component {
-    /// The prefix that opens every line of this part.
+    /// The prefix of each log line of this component.
     pub fn prefix(self) -> &'static str {
         match self {
             Component::Main => "main",
-            Component::Tree => "tree",
+            Component::Supervisor => "tree",
             Component::Door => "door",
             Component::Pool => "pool",
             Component::Pick => "pick",
             Component::Relay => "relay",
             Component::Agree => "agree",
             Component::Elect => "elect",
-            Component::Grant => "grant",
+            Component::Lease => "grant",
             Component::Disk => "disk",
             Component::Kit => "kit",
         }
--- a/base/src/runtime/system.rs
+++ b/base/src/runtime/system.rs
@@ -1,3 +1,5 @@
+//! The runtime on a real machine.
+
 use std::{
     cell::Cell,
     io,
@@ -17,25 +19,25 @@
 
 use super::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
-/// The real machine.
+/// The runtime on a real machine: the compio runtime, TCP and the file system.
 pub struct SystemRuntime {
     start: Instant,
     seed: Cell<u64>,
-    disk: Option<Rc<Folder>>,
+    disk: Option<Rc<DataFolder>>,
 }
 
 impl SystemRuntime {
-    /// A world with an optional data folder.
-    pub fn new(data: Option<PathBuf>) -> io::Result<Rc<Self>> {
+    /// A runtime with an optional data folder, which is created if it does not exist.
+    pub fn new(data_folder: Option<PathBuf>) -> io::Result<Rc<Self>> {
         use std::hash::{BuildHasher, Hasher};
         let seed = std::collections::hash_map::RandomState::new().build_hasher().finish() | 1;
-        if let Some(p) = &data {
-            std::fs::create_dir_all(p)?;
+        if let Some(path) = &data_folder {
+            std::fs::create_dir_all(path)?;
         }
         Ok(Rc::new(Self {
             start: Instant::now(),
             seed: Cell::new(seed),
-            disk: data.map(|path| Rc::new(Folder { path })),
+            disk: data_folder.map(|path| Rc::new(DataFolder { path })),
         }))
     }
 }
@@ -45,8 +47,8 @@
         self.start.elapsed()
     }
 
-    fn sleep(&self, span: Duration) -> LocalFuture<()> {
-        Box::pin(compio::time::sleep(span))
+    fn sleep(&self, duration: Duration) -> LocalFuture<()> {
+        Box::pin(compio::time::sleep(duration))
     }
 
     fn spawn(&self, task: LocalFuture<()>) {
@@ -59,22 +61,22 @@
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>> {
         Box::pin(async move {
-            let sock = TcpListener::bind(addr).await?;
-            let addr = sock.local_addr()?;
-            Ok(Rc::new(Door { sock: Rc::new(sock), addr }) as Rc<dyn Listener>)
+            let listener = TcpListener::bind(addr).await?;
+            let addr = listener.local_addr()?;
+            Ok(Rc::new(SystemListener { listener: Rc::new(listener), addr }) as Rc<dyn Listener>)
         })
     }
 
     fn connect(&self, addr: SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>> {
-        Box::pin(async move { wrap(TcpStream::connect(addr).await?) })
+        Box::pin(async move { into_stream(TcpStream::connect(addr).await?) })
     }
 
     fn disk(&self) -> Option<Rc<dyn Disk>> {
         self.disk.clone().map(|d| d as Rc<dyn Disk>)
     }
 
-    fn log(&self, part: Component, text: &str) {
-        spdlog::info!("{}: {}", part.prefix(), text);
+    fn log(&self, component: Component, text: &str) {
+        spdlog::info!("{}: {}", component.prefix(), text);
     }
 
     fn abort_process(&self, text: &str) {
@@ -84,20 +86,20 @@
     }
 }
 
-fn wrap(sock: TcpStream) -> io::Result<Box<dyn Stream>> {
-    sock.set_nodelay(true)?;
-    Ok(Box::new(HyperStream::new_plain(sock)))
+fn into_stream(socket: TcpStream) -> io::Result<Box<dyn Stream>> {
+    socket.set_nodelay(true)?;
+    Ok(Box::new(HyperStream::new_plain(socket)))
 }
 
-struct Door {
-    sock: Rc<TcpListener>,
+struct SystemListener {
+    listener: Rc<TcpListener>,
     addr: SocketAddr,
 }
 
-impl Listener for Door {
+impl Listener for SystemListener {
     fn accept(&self) -> LocalFuture<io::Result<Box<dyn Stream>>> {
-        let sock = self.sock.clone();
-        Box::pin(async move { wrap(sock.accept().await?.0) })
+        let listener = self.listener.clone();
+        Box::pin(async move { into_stream(listener.accept().await?.0) })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -105,22 +107,24 @@
     }
 }
 
-struct Folder {
+/// The data folder of the process.
+struct DataFolder {
     path: PathBuf,
 }
 
-impl Folder {
-    async fn sync_dir(path: PathBuf) -> io::Result<()> {
+impl DataFolder {
+    /// Syncs the folder itself, which makes the entry of a new file durable.
+    async fn sync_folder(path: PathBuf) -> io::Result<()> {
         File::open(path).await?.sync_all().await
     }
 }
 
-impl Disk for Folder {
+impl Disk for DataFolder {
     fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>> {
         let path = self.path.join(name);
         Box::pin(async move {
             match compio::fs::read(path).await {
-                Ok(b) => Ok(Some(b)),
+                Ok(data) => Ok(Some(data)),
                 Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
                 Err(e) => Err(e),
             }
@@ -128,24 +132,24 @@
     }
 
     fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
-        let (path, dir) = (self.path.join(name), self.path.clone());
+        let (path, folder) = (self.path.join(name), self.path.clone());
         Box::pin(async move {
             let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(path).await?;
-            let BufResult(out, _) = file.write_all_at(data, 0).await;
-            out?;
+            let BufResult(result, _) = file.write_all_at(data, 0).await;
+            result?;
             file.sync_all().await?;
-            Self::sync_dir(dir).await
+            Self::sync_folder(folder).await
         })
     }
 
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
-        let (path, dir) = (self.path.join(name), self.path.clone());
+    fn append(&self, name: &str, offset: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
+        let (path, folder) = (self.path.join(name), self.path.clone());
         Box::pin(async move {
             let mut file = OpenOptions::new().write(true).create(true).open(path).await?;
-            let BufResult(out, _) = file.write_all_at(data, at).await;
-            out?;
+            let BufResult(result, _) = file.write_all_at(data, offset).await;
+            result?;
             file.sync_all().await?;
-            if at == 0 { Self::sync_dir(dir).await } else { Ok(()) }
+            if offset == 0 { Self::sync_folder(folder).await } else { Ok(()) }
         })
     }
 }
--- a/base/src/settings.rs
+++ b/base/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told of its place, from a file or flags, and checked by field.
+//! The settings of a process, from its settings file and flags, and their check.
 
 use std::net::SocketAddr;
 
@@ -7,38 +7,43 @@
 strict! {
     /// The settings file of either program.
     pub struct Settings {
-        /// This process's name; no other process has it.
+        /// This process's name, unique within the deployment.
         pub name: String,
+        /// The zone of this process.
         pub area: String,
-        /// Where callers, back ends and operators come.
+        /// Address for clients, servers and operators.
         pub http: String,
-        /// Where other processes come.
+        /// Address for links from other processes.
         pub peer: String,
         /// Peer addresses of the control nodes.
         pub seeds: Vec<String>,
-        /// The data folder, on control nodes.
+        /// The data folder; on control nodes only.
         pub data: Option<String> = None,
-        /// The platform that starts machines and names leaders.
+        /// Address of the platform, which starts machines and promotes servers; used by control nodes.
         pub platform: Option<String> = None,
+        /// Log level: error, warn, info or debug.
         pub log: String = "info".to_string(),
         pub bounds: BoundSettings = BoundSettings::default(),
         pub policy: PolicySettings = PolicySettings::default(),
+        /// How many client sessions may be open at once.
         pub most_sessions: u64 = 4000,
+        /// The largest request body, in bytes.
         pub most_body: u64 = 1 << 20,
+        /// How many requests may wait for a connection to one server.
         pub most_inbox: u64 = 256,
-        /// Whether a node serves callers on while its own area is emptied of servers.
+        /// Whether a node goes on serving clients while its own zone is evacuated.
         pub keep_on: bool = false,
-        /// Whether the whole system may be starting for the first time, with empty disks.
+        /// Whether this may be the first start of the whole deployment, with empty disks.
         pub first_start: bool = true,
-        /// How many control nodes may be lost at once; one more than twice as many agree.
+        /// How many control nodes may be lost at once; one more than twice as many are members of the consensus.
         pub losses: u64 = 1,
-        /// All zones that operators may name; with none listed, those that servers and nodes tell of.
+        /// All zones that operators may name; if empty, those that servers and nodes report.
         pub zones: Vec<String> = Vec::new(),
     }
 }
 
 strict! {
-    /// The users' bounds, in milliseconds.
+    /// The configurable time bounds, in milliseconds; [`Bounds`] describes each.
     pub struct BoundSettings {
         pub blueprint_ms: u64 = 3000,
         pub fresh_ms: u64 = 1500,
@@ -49,18 +54,29 @@
 }
 
 strict! {
-    /// The selection policy's figures.
+    /// The parameters of the selection policy.
     pub struct PolicySettings {
+        /// Time between two evaluations.
         pub eval_interval_ms: u64 = 5_000,
+        /// A server with this share of failed requests, or a higher one, is not eligible.
         pub max_error_rate: f64 = 0.7,
+        /// A server that is this many log positions behind, or more, is not eligible.
         pub max_lag: u64 = 10,
+        /// With fewer healthy servers than this, all servers are eligible.
         pub min_healthy: u64 = 1,
+        /// The period over which requests are counted.
         pub window_ms: u64 = 10_000,
+        /// Whether each kind of statement (by its label) has an eligible set of its own.
         pub per_kind: bool = false,
+        /// How long past decisions are kept.
         pub history_ms: u64 = 3_600_000,
+        /// Whether servers that are not eligible get a few requests at intervals, so that they are measured again.
         pub resample: bool = false,
+        /// Time between two resamplings.
         pub resample_interval_ms: u64 = 300_000,
+        /// How many requests each of those servers gets in a resampling.
         pub resample_count: u64 = 10,
+        /// Names of the servers in the fallback group.
         pub fallback: Vec<String> = Vec::new(),
     }
 }
@@ -89,109 +105,116 @@
     }
 }
 
-/// A process's checked place.
+/// The checked settings of a process.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     pub name: String,
     pub zone: String,
+    /// Address for clients, servers and operators.
     pub http: SocketAddr,
+    /// Address for links from other processes.
     pub peer: SocketAddr,
+    /// Peer addresses of the control nodes.
     pub seeds: Vec<SocketAddr>,
     pub platform: Option<SocketAddr>,
     pub bounds: Bounds,
     pub policy: PolicySettings,
     pub max_sessions: usize,
     pub max_body_bytes: usize,
+    /// How many requests may wait for a connection to one server.
     pub max_queued: usize,
+    /// Whether to go on serving clients while the own zone is evacuated.
     pub serve_in_evacuated_zone: bool,
+    /// Whether this may be the first start of the whole deployment.
     pub first_start: bool,
+    /// How many control nodes may be lost at once.
     pub tolerated_losses: usize,
     pub zones: Vec<String>,
 }
 
-/// How many control nodes a settings file names at most; fewer where fewer serve just then.
-const MOST_SEEDS: usize = 3;
+/// How many control nodes a settings file may name. It may name fewer, if fewer of them are in service at that time.
+const MAX_SEEDS: usize = 3;
 
-/// Reads a settings file's text.
+/// Parses a settings file; the error names line, column and field. Values are checked by [`Settings::check`].
 pub fn read(text: &[u8]) -> Result<Settings, String> {
     crate::strict::read(text).map_err(|e| e.to_string())
 }
 
-/// How many zones may be listed.
-const MOST_ZONES: usize = 1000;
+/// How many zones a settings file may list.
+const MAX_ZONES: usize = 1000;
 
 fn zone_faults(zones: &[String]) -> Vec<String> {
-    let mut bad = Vec::new();
-    if zones.len() > MOST_ZONES {
-        bad.push(format!("zones: {} of at most {MOST_ZONES}", zones.len()));
+    let mut faults = Vec::new();
+    if zones.len() > MAX_ZONES {
+        faults.push(format!("zones: {} of at most {MAX_ZONES}", zones.len()));
     }
     let mut seen = std::collections::BTreeSet::new();
     for zone in zones {
         if zone.is_empty() || zone.len() > 64 {
-            bad.push(format!("zones: {zone:?}: 1 to 64 characters belong here"));
+            faults.push(format!("zones: {zone:?}: must have 1 to 64 characters"));
         }
         if !seen.insert(zone) {
-            bad.push(format!("zones: {zone:?} is named twice"));
+            faults.push(format!("zones: {zone:?} is named twice"));
         }
     }
-    bad
+    faults
 }
 
 impl Settings {
-    /// Checks every field; the faults name theirs.
+    /// Checks all fields; the error lists every fault with the name of its field.
     pub fn check(&self) -> Result<NodeConfig, Vec<String>> {
-        let mut bad = Vec::new();
-        let mut addr = |field: &str, text: &str| match text.parse::<SocketAddr>() {
-            Ok(a) => a,
+        let mut faults = Vec::new();
+        let mut address = |field: &str, text: &str| match text.parse::<SocketAddr>() {
+            Ok(address) => address,
             Err(_) => {
-                bad.push(format!("{field}: {text:?} is not an IP address with a port"));
+                faults.push(format!("{field}: {text:?} is not an IP address with a port"));
                 SocketAddr::from(([0, 0, 0, 0], 0))
             }
         };
-        let http = addr("http", &self.http);
-        let peer = addr("peer", &self.peer);
-        let seeds: Vec<_> = self.seeds.iter().map(|s| addr("seeds", s)).collect();
-        let platform = self.platform.as_ref().map(|p| addr("platform", p));
-        let mut range = |field: &str, n: u64, low: u64, high: u64| {
-            if !(low..=high).contains(&n) {
-                bad.push(format!("{field}: {n} is not within {low} to {high}"));
+        let http = address("http", &self.http);
+        let peer = address("peer", &self.peer);
+        let seeds: Vec<_> = self.seeds.iter().map(|s| address("seeds", s)).collect();
+        let platform = self.platform.as_ref().map(|p| address("platform", p));
+        let mut check_range = |field: &str, value: u64, min: u64, max: u64| {
+            if !(min..=max).contains(&value) {
+                faults.push(format!("{field}: {value} is not within {min} to {max}"));
             }
         };
-        let b = &self.bounds;
-        range("bounds.blueprint_ms", b.blueprint_ms, 300, 600_000);
-        range("bounds.fresh_ms", b.fresh_ms, 60, 600_000);
-        range("bounds.empty_ms", b.empty_ms, 300, 600_000);
-        range("bounds.drain_ms", b.drain_ms, 300, 600_000);
-        range("bounds.back_ms", b.back_ms, 300, 600_000);
-        let p = &self.policy;
-        range("policy.eval_interval_ms", p.eval_interval_ms, 100, 3_600_000);
-        range("policy.window_ms", p.window_ms, 100, 3_600_000);
-        range("policy.max_lag", p.max_lag, 1, u64::MAX);
-        range("policy.min_healthy", p.min_healthy, 1, 100);
-        range("policy.history_ms", p.history_ms, 1000, 86_400_000);
-        range("policy.resample_interval_ms", p.resample_interval_ms, 100, 86_400_000);
-        range("policy.resample_count", p.resample_count, 1, 10_000);
-        range("most_sessions", self.most_sessions, 1, 1_000_000);
-        range("most_body", self.most_body, 1024, 1 << 28);
-        range("losses", self.losses, 1, 4);
-        range("most_inbox", self.most_inbox, 1, 100_000);
-        if !(0.0..=1.0).contains(&p.max_error_rate) {
-            bad.push(format!("policy.max_error_rate: {} is not within 0 to 1", p.max_error_rate));
+        let bounds = &self.bounds;
+        check_range("bounds.blueprint_ms", bounds.blueprint_ms, 300, 600_000);
+        check_range("bounds.fresh_ms", bounds.fresh_ms, 60, 600_000);
+        check_range("bounds.empty_ms", bounds.empty_ms, 300, 600_000);
+        check_range("bounds.drain_ms", bounds.drain_ms, 300, 600_000);
+        check_range("bounds.back_ms", bounds.back_ms, 300, 600_000);
+        let policy = &self.policy;
+        check_range("policy.eval_interval_ms", policy.eval_interval_ms, 100, 3_600_000);
+        check_range("policy.window_ms", policy.window_ms, 100, 3_600_000);
+        check_range("policy.max_lag", policy.max_lag, 1, u64::MAX);
+        check_range("policy.min_healthy", policy.min_healthy, 1, 100);
+        check_range("policy.history_ms", policy.history_ms, 1000, 86_400_000);
+        check_range("policy.resample_interval_ms", policy.resample_interval_ms, 100, 86_400_000);
+        check_range("policy.resample_count", policy.resample_count, 1, 10_000);
+        check_range("most_sessions", self.most_sessions, 1, 1_000_000);
+        check_range("most_body", self.most_body, 1024, 1 << 28);
+        check_range("losses", self.losses, 1, 4);
+        check_range("most_inbox", self.most_inbox, 1, 100_000);
+        if !(0.0..=1.0).contains(&policy.max_error_rate) {
+            faults.push(format!("policy.max_error_rate: {} is not within 0 to 1", policy.max_error_rate));
         }
         for (field, text) in [("name", &self.name), ("area", &self.area)] {
             if text.is_empty() || text.len() > 64 {
-                bad.push(format!("{field}: 1 to 64 characters belong here"));
+                faults.push(format!("{field}: must have 1 to 64 characters"));
             }
         }
-        bad.extend(zone_faults(&self.zones));
-        if !(1..=MOST_SEEDS).contains(&seeds.len()) {
-            bad.push(format!("seeds: {} addresses, where 1 to {MOST_SEEDS} belong", seeds.len()));
+        faults.extend(zone_faults(&self.zones));
+        if !(1..=MAX_SEEDS).contains(&seeds.len()) {
+            faults.push(format!("seeds: {} addresses, but there must be 1 to {MAX_SEEDS}", seeds.len()));
         }
         if !["error", "warn", "info", "debug"].contains(&self.log.as_str()) {
-            bad.push(format!("log: {:?} is not error, warn, info or debug", self.log));
+            faults.push(format!("log: {:?} is not error, warn, info or debug", self.log));
         }
-        if !bad.is_empty() {
-            return Err(bad);
+        if !faults.is_empty() {
+            return Err(faults);
         }
         Ok(NodeConfig {
             name: self.name.clone(),
@@ -201,14 +224,14 @@
             seeds,
             platform,
             bounds: Bounds {
-                blueprint: b.blueprint_ms,
-                fresh: b.fresh_ms,
-                empty: b.empty_ms,
-                drain: b.drain_ms,
-                back: b.back_ms,
+                blueprint: bounds.blueprint_ms,
+                fresh: bounds.fresh_ms,
+                empty: bounds.empty_ms,
+                drain: bounds.drain_ms,
+                back: bounds.back_ms,
                 ..Bounds::default()
             },
-            policy: p.clone(),
+            policy: policy.clone(),
             max_sessions: self.most_sessions as usize,
             max_body_bytes: self.most_body as usize,
             max_queued: self.most_inbox as usize,
--- a/base/src/strict.rs
+++ b/base/src/strict.rs
@@ -1,8 +1,8 @@
-//! Reading JSON through nanoserde, with unknown, repeated and missing fields refused by name.
+//! Strict JSON parsing on top of nanoserde: unknown, repeated and missing fields are errors that name the field.
 
 use nanoserde::{DeJson, DeJsonErr, DeJsonErrReason, DeJsonState, DeJsonTok};
 
-/// Why a text was refused; names the field where there is one.
+/// Why a text could not be parsed; names the field where there is one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line} column {col}: {text}")]
 pub struct ParseError {
@@ -11,28 +11,28 @@
     pub text: String,
 }
 
-/// Reads a whole text; nothing may follow the value.
+/// Parses a text that holds one JSON value and nothing after it.
 pub fn read<T: DeJson>(text: &[u8]) -> Result<T, ParseError> {
     let text = std::str::from_utf8(text).map_err(|e| ParseError {
         line: 1,
         col: e.valid_up_to(),
         text: "not UTF-8".into(),
     })?;
-    let mut s = DeJsonState::default();
-    let mut i = text.chars();
-    s.next(&mut i);
-    let out = s.next_tok(&mut i).and_then(|()| T::de_json(&mut s, &mut i)).map_err(fault)?;
-    if s.tok != DeJsonTok::Eof {
-        return Err(ParseError { line: s.line + 1, col: s.col, text: "text after the value".into() });
+    let mut state = DeJsonState::default();
+    let mut chars = text.chars();
+    state.next(&mut chars);
+    let value = state.next_tok(&mut chars).and_then(|()| T::de_json(&mut state, &mut chars)).map_err(parse_error)?;
+    if state.tok != DeJsonTok::Eof {
+        return Err(ParseError { line: state.line + 1, col: state.col, text: "text after the value".into() });
     }
-    Ok(out)
+    Ok(value)
 }
 
-fn fault(e: DeJsonErr) -> ParseError {
+fn parse_error(e: DeJsonErr) -> ParseError {
     let text = match e.msg {
         DeJsonErrReason::UnexpectedKey(k) => format!("unknown or repeated field {k}"),
         DeJsonErrReason::MissingKey(k) => format!("missing field {k}"),
-        DeJsonErrReason::UnexpectedToken(t, w) => format!("found {t:?} where {w} belongs"),
+        DeJsonErrReason::UnexpectedToken(found, expected) => format!("found {found:?} where {expected} belongs"),
         DeJsonErrReason::NoSuchEnum(k) => format!("no such choice {k}"),
         DeJsonErrReason::OutOfRange(k) => format!("out of range: {k}"),
         DeJsonErrReason::WrongType(k) => format!("wrong type: {k}"),
@@ -42,67 +42,70 @@
     ParseError { line: e.line + 1, col: e.col, text }
 }
 
-/// Names the field a fault lies in.
-pub fn at(field: &str, mut e: DeJsonErr) -> DeJsonErr {
-    if let DeJsonErrReason::UnexpectedToken(_, w)
-    | DeJsonErrReason::OutOfRange(w)
-    | DeJsonErrReason::WrongType(w)
-    | DeJsonErrReason::CannotParse(w) = &mut e.msg
+/// Adds the name of the field to an error that has none.
+pub fn in_field(field: &str, mut e: DeJsonErr) -> DeJsonErr {
+    if let DeJsonErrReason::UnexpectedToken(_, text)
+    | DeJsonErrReason::OutOfRange(text)
+    | DeJsonErrReason::WrongType(text)
+    | DeJsonErrReason::CannotParse(text) = &mut e.msg
     {
-        *w = format!("{w} (field {field})");
+        *text = format!("{text} (field {field})");
     }
     e
 }
 
-/// Declares a struct read strictly from JSON and written back. A field with `= value` may be left out.
+/// Declares a struct that is parsed strictly from JSON and can be serialized. The names of the fields are the JSON
+/// keys. A field with a default (`= value`) may be left out of the text.
 #[macro_export]
 macro_rules! strict {
-    ($(#[$m:meta])* pub struct $n:ident { $($(#[$fm:meta])* pub $f:ident : $t:ty $(= $d:expr)?),* $(,)? }) => {
-        $(#[$m])*
+    ($(#[$meta:meta])* pub struct $name:ident {
+        $($(#[$field_meta:meta])* pub $field:ident : $field_type:ty $(= $default:expr)?),* $(,)?
+    }) => {
+        $(#[$meta])*
         #[derive(Clone, Debug, PartialEq)]
-        pub struct $n { $($(#[$fm])* pub $f: $t),* }
+        pub struct $name { $($(#[$field_meta])* pub $field: $field_type),* }
 
-        impl nanoserde::SerJson for $n {
-            fn ser_json(&self, d: usize, s: &mut nanoserde::SerJsonState) {
-                s.st_pre();
+        impl nanoserde::SerJson for $name {
+            fn ser_json(&self, depth: usize, state: &mut nanoserde::SerJsonState) {
+                state.st_pre();
                 let mut first = true;
                 $(
                     if !std::mem::replace(&mut first, false) {
-                        s.conl();
+                        state.conl();
                     }
-                    s.field(d + 1, stringify!($f));
-                    self.$f.ser_json(d + 1, s);
+                    state.field(depth + 1, stringify!($field));
+                    self.$field.ser_json(depth + 1, state);
                 )*
-                s.st_post(d);
+                state.st_post(depth);
             }
         }
 
-        impl nanoserde::DeJson for $n {
+        impl nanoserde::DeJson for $name {
             fn de_json(
-                s: &mut nanoserde::DeJsonState,
-                i: &mut core::str::Chars,
+                state: &mut nanoserde::DeJsonState,
+                chars: &mut core::str::Chars,
             ) -> Result<Self, nanoserde::DeJsonErr> {
-                $(let mut $f: Option<$t> = None;)*
-                s.curly_open(i)?;
-                while s.next_str().is_some() {
-                    let key = s.strbuf.clone();
+                $(let mut $field: Option<$field_type> = None;)*
+                state.curly_open(chars)?;
+                while state.next_str().is_some() {
+                    let key = state.strbuf.clone();
                     match key.as_str() {
-                        $(stringify!($f) if $f.is_none() => {
-                            s.next_colon(i)?;
-                            $f = Some(nanoserde::DeJson::de_json(s, i)
-                                .map_err(|e| $crate::strict::at(&key, e))?);
-                            s.eat_comma_curly(i)?;
+                        $(stringify!($field) if $field.is_none() => {
+                            state.next_colon(chars)?;
+                            $field = Some(nanoserde::DeJson::de_json(state, chars)
+                                .map_err(|e| $crate::strict::in_field(&key, e))?);
+                            state.eat_comma_curly(chars)?;
                         })*
-                        _ => return Err(s.err_exp(&key)),
+                        _ => return Err(state.err_exp(&key)),
                     }
                 }
-                s.curly_close(i)?;
-                Ok(Self { $($f: $crate::strict!(@pick s, $f $(, $d)?)),* })
+                state.curly_close(chars)?;
+                Ok(Self { $($field: $crate::strict!(@value state, $field $(, $default)?)),* })
             }
         }
     };
-    (@pick $s:ident, $f:ident) => {
-        match $f { Some(v) => v, None => return Err($s.err_nf(stringify!($f))) }
+    (@value $state:ident, $field:ident) => {
+        match $field { Some(v) => v, None => return Err($state.err_nf(stringify!($field))) }
     };
-    (@pick $s:ident, $f:ident, $d:expr) => { $f.unwrap_or_else(|| $d) };
+    (@value $state:ident, $field:ident, $default:expr) => { $field.unwrap_or_else(|| $default) };
 }
