--- a/pick/src/eligible_set.rs
+++ b/pick/src/eligible_set.rs
@@ -1,11 +1,13 @@
+//! The eligible set of a database and the history of its evaluations.
+
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{Candidate, InvalidMetric, Metrics, Policy, Reason};
 
-/// The most decisions a ring holds, whatever its span.
-const MOST: usize = 4096;
+/// How many decisions the history holds, even if more of them are recent enough.
+const MAX_DECISIONS: usize = 4096;
 
-/// How one server fared in a decision.
+/// The result of an evaluation for one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerDecision {
     pub name: String,
@@ -14,72 +16,74 @@
     pub metrics: Metrics,
 }
 
-/// One past evaluation.
+/// The result of one evaluation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
+    /// When it ran, as the time of the runtime.
     pub at: Duration,
     pub servers: Vec<ServerDecision>,
-    /// Why the evaluation failed; the rows are then the held ones.
+    /// Why the evaluation failed; `servers` are then those of the decision before it.
     pub error: Option<String>,
 }
 
-/// The standing list of one database (or statement kind), and the ring of past decisions.
+/// The eligible set of one database (or of one kind of its statements), and the history of past decisions.
 #[derive(Clone, Default)]
 pub struct EligibleSet {
     servers: Vec<String>,
-    held: bool,
+    has_decision: bool,
     history: VecDeque<Decision>,
-    /// How many evaluations have run.
+    /// How many evaluations have run, failed ones included.
     pub evaluations: u64,
 }
 
 impl EligibleSet {
-    /// Evaluates and holds the result until the next call; a failure holds the last set.
+    /// Evaluates the policy and keeps the result until the next call; if it fails, the last set is kept. Decisions
+    /// older than `max_age` are dropped from the history.
     pub fn evaluate(
         &mut self,
         now: Duration,
-        keep: Duration,
+        max_age: Duration,
         policy: &Policy,
-        all: &[Candidate],
+        candidates: &[Candidate],
     ) -> Result<(), InvalidMetric> {
         self.evaluations += 1;
-        let out = policy.evaluate(all);
-        let (rows, fault) = match &out {
-            Ok(list) => {
-                let rows: Vec<_> = all
+        let result = policy.evaluate(candidates);
+        let (servers, error) = match &result {
+            Ok(verdicts) => {
+                let decisions: Vec<_> = candidates
                     .iter()
-                    .zip(list)
-                    .map(|(c, (eligible, why))| ServerDecision {
-                        name: c.name.clone(),
+                    .zip(verdicts)
+                    .map(|(candidate, (eligible, reason))| ServerDecision {
+                        name: candidate.name.clone(),
                         eligible: *eligible,
-                        reason: *why,
-                        metrics: c.metrics,
+                        reason: *reason,
+                        metrics: candidate.metrics,
                     })
                     .collect();
-                self.servers = rows.iter().filter(|r| r.eligible).map(|r| r.name.clone()).collect();
-                self.held = true;
-                (rows, None)
+                self.servers = decisions.iter().filter(|d| d.eligible).map(|d| d.name.clone()).collect();
+                self.has_decision = true;
+                (decisions, None)
             }
             Err(e) => {
                 let last = self.history.back().map(|d| d.servers.clone()).unwrap_or_default();
                 (last, Some(e.to_string()))
             }
         };
-        self.history.push_back(Decision { at: now, servers: rows, error: fault });
-        while self.history.len() > MOST || self.history.front().is_some_and(|d| d.at + keep < now) {
+        self.history.push_back(Decision { at: now, servers, error });
+        while self.history.len() > MAX_DECISIONS || self.history.front().is_some_and(|d| d.at + max_age < now) {
             self.history.pop_front();
         }
-        out.map(|_| ())
+        result.map(|_| ())
     }
 
-    /// Whether a server is in the standing list. Before the first decision all are.
+    /// Whether a server is in the eligible set. Before the first decision all servers are.
     pub fn contains(&self, name: &str) -> bool {
-        !self.held || self.servers.iter().any(|s| s == name)
+        !self.has_decision || self.servers.iter().any(|s| s == name)
     }
 
-    /// The standing list, once there was a decision.
+    /// The eligible set; `None` before the first decision.
     pub fn set(&self) -> Option<&[String]> {
-        self.held.then_some(&self.servers[..])
+        self.has_decision.then_some(&self.servers[..])
     }
 
     /// Past decisions, oldest first.
--- a/pick/src/lib.rs
+++ b/pick/src/lib.rs
@@ -1,4 +1,5 @@
-//! The selection policy, pure: metrics in, eligible set out; weights and read choice beside it.
+//! The selection policy, as pure functions of the measured metrics: which servers are eligible for reads, with which
+//! weights, and which of them serves a read.
 
 mod choice;
 mod eligible_set;
--- a/pick/src/window.rs
+++ b/pick/src/window.rs
@@ -1,146 +1,160 @@
+//! Metrics over a sliding time window.
+
 use std::time::Duration;
 
 use crate::Metrics;
 
+/// The number of slices that the window is divided into; it moves on by one slice at a time.
 const SLICES: usize = 12;
-const CELLS: usize = 64;
+/// The number of buckets of the response time histogram in each slice.
+const BUCKETS: usize = 64;
 
-/// How a request to a server ended.
+/// The outcome of a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// A statement that succeeded.
     Good,
+    /// A statement that failed.
     Error,
+    /// A statement that the server rejected because of overload.
     Throttled,
-    /// A reading of the position that was answered; its time says nothing of statements.
+    /// A position probe that was answered. Its response time is not counted, as it is no measure of that of statements.
     Probe,
-    /// A reading of the position that was not.
+    /// A position probe that was not answered.
     Missed,
 }
 
+/// The counters of one slice of the window.
 #[derive(Clone)]
 struct Slice {
-    turn: u64,
+    /// Which slice since time 0 this is; `u64::MAX` if nothing was recorded.
+    number: u64,
     count: u64,
     errors: u64,
     throttled: u64,
     probes: u64,
     missed: u64,
-    cells: [u32; CELLS],
+    /// Response times of successful statements.
+    buckets: [u32; BUCKETS],
 }
 
 impl Default for Slice {
     fn default() -> Self {
-        Self { turn: u64::MAX, count: 0, errors: 0, throttled: 0, probes: 0, missed: 0, cells: [0; CELLS] }
+        Self { number: u64::MAX, count: 0, errors: 0, throttled: 0, probes: 0, missed: 0, buckets: [0; BUCKETS] }
     }
 }
 
-/// Counters and response times over a scoring window, in bounded space: twelve slices of 64 cells.
+/// Counters and response times over a sliding window, in bounded space: twelve slices with 64 histogram buckets each.
+/// The totals are counted since the start.
 #[derive(Clone)]
 pub struct Window {
-    span: Duration,
+    duration: Duration,
     slices: Vec<Slice>,
     errors: u64,
     count: u64,
 }
 
-/// Four cells to each doubling from 64 µs on: an error of at most a fifth.
-fn cell(time: Duration) -> usize {
-    let us = time.as_micros() as u64 / 16;
-    if us < 4 {
-        return us as usize;
+/// The histogram bucket of a response time. From 64 µs on there are four buckets for each doubling, which gives an
+/// error of at most a fifth.
+fn bucket(time: Duration) -> usize {
+    let units = time.as_micros() as u64 / 16;
+    if units < 4 {
+        return units as usize;
     }
-    let top = 63 - us.leading_zeros() as usize;
-    ((top - 1) * 4 + ((us >> (top - 2)) & 3) as usize).min(CELLS - 1)
+    let top_bit = 63 - units.leading_zeros() as usize;
+    ((top_bit - 1) * 4 + ((units >> (top_bit - 2)) & 3) as usize).min(BUCKETS - 1)
 }
 
-/// The upper edge of a cell, in seconds.
-fn edge(cell: usize) -> f64 {
-    let us = if cell < 4 { cell as u64 + 1 } else { (4 + (cell as u64 & 3) + 1) << (cell / 4 - 1) };
-    us as f64 * 16e-6
+/// The upper limit of a bucket, in seconds.
+fn upper_limit_s(bucket: usize) -> f64 {
+    let units = if bucket < 4 { bucket as u64 + 1 } else { (4 + (bucket as u64 & 3) + 1) << (bucket / 4 - 1) };
+    units as f64 * 16e-6
 }
 
 impl Window {
-    /// A window of `span`.
-    pub fn new(span: Duration) -> Self {
-        Self { span, slices: vec![Slice::default(); SLICES], errors: 0, count: 0 }
+    /// An empty window of the given duration.
+    pub fn new(duration: Duration) -> Self {
+        Self { duration, slices: vec![Slice::default(); SLICES], errors: 0, count: 0 }
     }
 
-    /// Changes the span; what was measured under the old one goes.
-    pub fn resize(&mut self, span: Duration) {
-        if span != self.span {
-            self.span = span;
+    /// Changes the duration of the window. If it differs, all measurements but the totals are discarded.
+    pub fn resize(&mut self, duration: Duration) {
+        if duration != self.duration {
+            self.duration = duration;
             self.slices.fill(Slice::default());
         }
     }
 
-    fn turn(&self, now: Duration) -> u64 {
-        let step = (self.span.as_nanos() / SLICES as u128).max(1);
-        (now.as_nanos() / step) as u64
+    /// The number of the slice at time `now`.
+    fn slice_number(&self, now: Duration) -> u64 {
+        let slice_ns = (self.duration.as_nanos() / SLICES as u128).max(1);
+        (now.as_nanos() / slice_ns) as u64
     }
 
-    /// Takes in one request's end.
-    pub fn record(&mut self, now: Duration, out: Outcome, time: Duration) {
-        let turn = self.turn(now);
-        let s = &mut self.slices[turn as usize % SLICES];
-        if s.turn != turn {
-            *s = Slice { turn, ..Slice::default() };
+    /// Records the outcome and the response time of a request that ended at `now`.
+    pub fn record(&mut self, now: Duration, outcome: Outcome, response_time: Duration) {
+        let number = self.slice_number(now);
+        let slice = &mut self.slices[number as usize % SLICES];
+        if slice.number != number {
+            *slice = Slice { number, ..Slice::default() };
         }
         self.count += 1;
-        match out {
-            Outcome::Probe | Outcome::Missed => s.probes += 1,
-            _ => s.count += 1,
+        match outcome {
+            Outcome::Probe | Outcome::Missed => slice.probes += 1,
+            _ => slice.count += 1,
         }
-        match out {
-            Outcome::Good => s.cells[cell(time)] += 1,
+        match outcome {
+            Outcome::Good => slice.buckets[bucket(response_time)] += 1,
             Outcome::Probe => {}
             Outcome::Missed => {
-                s.missed += 1;
+                slice.missed += 1;
                 self.errors += 1;
             }
-            Outcome::Throttled => s.throttled += 1,
+            Outcome::Throttled => slice.throttled += 1,
             Outcome::Error => {
-                s.errors += 1;
+                slice.errors += 1;
                 self.errors += 1;
             }
         }
     }
 
-    /// The figures at `now`, with the lag as known from log positions.
+    /// The metrics of the window that ends at `now`, together with the given `lag` in log positions.
     pub fn metrics(&self, now: Duration, lag: u64) -> Metrics {
-        let turn = self.turn(now);
-        let live = self.slices.iter().filter(|s| s.turn != u64::MAX && s.turn + SLICES as u64 > turn);
+        let number = self.slice_number(now);
+        let current = self.slices.iter().filter(|s| s.number != u64::MAX && s.number + SLICES as u64 > number);
         let (mut count, mut errors, mut throttled, mut probes, mut missed) = (0, 0, 0, 0, 0);
-        let mut cells = [0u64; CELLS];
-        for s in live {
-            count += s.count;
-            errors += s.errors;
-            throttled += s.throttled;
-            probes += s.probes;
-            missed += s.missed;
-            cells.iter_mut().zip(s.cells).for_each(|(a, b)| *a += u64::from(b));
+        let mut buckets = [0u64; BUCKETS];
+        for slice in current {
+            count += slice.count;
+            errors += slice.errors;
+            throttled += slice.throttled;
+            probes += slice.probes;
+            missed += slice.missed;
+            buckets.iter_mut().zip(slice.buckets).for_each(|(a, b)| *a += u64::from(b));
         }
-        let rate = |n: u64, of: u64| if of == 0 { 0.0 } else { n as f64 / of as f64 };
-        let good: u64 = cells.iter().sum();
-        let mark = |part: f64| {
-            let need = (good as f64 * part).ceil() as u64;
+        let rate = |part: u64, total: u64| if total == 0 { 0.0 } else { part as f64 / total as f64 };
+        let good: u64 = buckets.iter().sum();
+        let percentile = |share: f64| {
+            let required = (good as f64 * share).ceil() as u64;
             let mut sum = 0;
-            for (i, n) in cells.iter().enumerate() {
-                sum += n;
-                if good > 0 && sum >= need.max(1) {
-                    return edge(i);
+            for (i, count) in buckets.iter().enumerate() {
+                sum += count;
+                if good > 0 && sum >= required.max(1) {
+                    return upper_limit_s(i);
                 }
             }
             0.0
         };
         Metrics {
-            // Readings are many and statements may be few: neither may hide the other's failures.
+            // Probes are many and statements may be few. A common rate would let one of them hide the failures of the
+            // other.
             error_rate: rate(errors, count).max(rate(missed, probes)),
             errors_total: self.errors,
             requests_total: self.count,
             throttled_rate: rate(throttled, count),
-            p90: mark(0.90),
-            p95: mark(0.95),
-            p99: mark(0.99),
+            p90: percentile(0.90),
+            p95: percentile(0.95),
+            p99: percentile(0.99),
             lag,
         }
     }
