--- a/hub/src/consensus/core.rs
+++ b/hub/src/consensus/core.rs
@@ -1,4 +1,4 @@
-//! The state of a control node in the consensus, and how its steps are taken.
+//! The state machine of the consensus on one control node: inputs go in, states to sync and effects come out.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -11,14 +11,14 @@
 use super::{
     images::{RecentImages, SentImage},
     quorum,
-    types::{Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, Ticket, Timing},
+    types::{Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, RequestId, Timing},
 };
 use crate::store::{DurableState, Version};
 
-/// How many heartbeats to one node may be unanswered before the oldest is forgotten.
-const HEARTBEATS_IN_FLIGHT: usize = 64;
+/// Number of heartbeats to one node whose sending times are kept; an acknowledgement of an older one is ignored.
+const MAX_SENT_HEARTBEATS: usize = 64;
 
-/// What a control node does in its term.
+/// The role of a control node in its term.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Role {
     Follower,
@@ -26,101 +26,102 @@
     Leader,
 }
 
-/// What is known of another control node.
+/// State kept about another control node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
     pub incarnation: u64,
-    pub empty: bool,
+    pub has_no_image: bool,
     pub rescued: bool,
     pub may_form: bool,
     pub address: String,
     pub zone: String,
     pub connected: bool,
-    /// It said that it is about to end.
+    /// It reported that its process is about to end.
     pub leaving: bool,
-    /// It takes changes of the image in place of whole ones.
-    pub takes_deltas: bool,
-    /// The newest image that it acknowledged to this leader; unknown before its first answer.
+    /// It accepts image deltas in place of whole images.
+    pub accepts_deltas: bool,
+    /// Version of the newest image that it acknowledged to this leader; `None` before its first acknowledgement.
     pub version: Option<Version>,
-    /// When the newest heartbeat was sent that it acknowledged to this leader.
+    /// Sending time of the newest heartbeat that it acknowledged to this leader.
     pub last_ack: Option<Duration>,
-    /// The newest image that was sent to it.
-    pub image_sent: Option<SentImage>,
-    /// When the newest heartbeats were sent, by nonce.
-    pub sent: VecDeque<(u64, Duration)>,
+    /// The newest image sent to it.
+    pub image_in_flight: Option<SentImage>,
+    /// Nonce and sending time of the newest heartbeats sent to it.
+    pub sent_heartbeats: VecDeque<(u64, Duration)>,
 }
 
 impl Peer {
-    pub(super) fn note_sent(&mut self, nonce: u64, now: Duration) {
-        self.sent.push_back((nonce, now));
-        if self.sent.len() > HEARTBEATS_IN_FLIGHT {
-            self.sent.pop_front();
+    /// Records when a heartbeat was sent, so that its acknowledgement can be dated.
+    pub(super) fn record_sent(&mut self, nonce: u64, now: Duration) {
+        self.sent_heartbeats.push_back((nonce, now));
+        if self.sent_heartbeats.len() > MAX_SENT_HEARTBEATS {
+            self.sent_heartbeats.pop_front();
         }
     }
 }
 
-/// A caller that waits.
+/// A request that is not resolved yet.
 #[derive(Clone, Debug)]
-pub(super) enum Waiting {
-    /// For a change to be committed under this index.
-    Commit { ticket: Ticket, index: u64, image: Rc<Image> },
-    /// For the image with this index to be committed and a quorum to confirm leadership after `asked`.
-    Confirmation { ticket: Ticket, index: u64, asked: Duration },
+pub(super) enum PendingRequest {
+    /// Resolved once the change with this index is committed.
+    Commit { request_id: RequestId, index: u64, image: Rc<Image> },
+    /// Resolved once the image with this index is committed and a quorum has confirmed leadership after `requested_at`.
+    Confirmation { request_id: RequestId, index: u64, requested_at: Duration },
 }
 
-/// What follows once the state is synced.
+/// The step that follows once the state is synced.
 #[derive(Clone, Debug)]
 pub(super) enum AfterSave {
     GrantVote { nonce: u64 },
     AcknowledgeHeartbeat { nonce: u64 },
     RequestVotes { transfer: bool },
     BeginTerm,
-    AwaitCommit { ticket: Ticket },
+    AwaitCommit { request_id: RequestId },
     Replicate,
 }
 
-/// A control node's part in the consensus, without any I/O.
+/// The consensus state machine of one control node, without any I/O.
 #[derive(Clone, Debug)]
 pub struct Core {
     pub(super) identity: Identity,
     pub(super) timing: Timing,
     pub(super) guards: Guards,
-    /// How many members there are to be.
+    /// The number of members to reach and keep.
     pub(super) target_members: usize,
     pub(super) durable: Rc<DurableState>,
     pub(super) role: Role,
-    /// Whom this node follows; empty when it knows of none.
+    /// Name of the leader that this node follows; empty if none is known.
     pub(super) leader: String,
-    /// Until when this node votes for nobody but the leader it follows.
+    /// Until this time the node votes for no candidate, unless its leader transferred leadership to that candidate.
     pub(super) hold_until: Duration,
-    /// When a heartbeat of the leader that this node follows was last taken in.
-    pub(super) leader_heard: Duration,
-    /// The other control nodes that this node followed.
-    pub(super) followed: BTreeSet<String>,
-    /// Until when this node does not ask to lead, as it handed leadership over.
-    pub(super) campaign_after: Duration,
+    /// When this node last accepted a heartbeat of the leader that it follows.
+    pub(super) last_leader_contact: Duration,
+    /// Names of all control nodes that this node has followed since its process started.
+    pub(super) followed_leaders: BTreeSet<String>,
+    /// This node starts no election before this time, because it transferred leadership.
+    pub(super) no_campaign_before: Duration,
     pub(super) leading_since: Duration,
     pub(super) leaving: bool,
     pub(super) peers: BTreeMap<String, Peer>,
     pub(super) nonce: u64,
-    /// The newest term that any answer told of. A candidate asks in a newer one: in an older term, a node that already
-    /// voted for another could neither vote nor be elected.
-    pub(super) newest_term_heard: u64,
-    /// The images that changes are told of.
-    pub(super) recent: RecentImages,
-    /// Images of this term that do not lie on a quorum of disks yet, by index.
+    /// The highest term that any response reported. A candidate uses a higher one: in a lower term, a node that already
+    /// voted for another candidate could neither vote nor be elected.
+    pub(super) highest_term_seen: u64,
+    /// The newest images of this node, from which deltas are computed.
+    pub(super) recent_images: RecentImages,
+    /// Images of this term that are not yet on a quorum of disks, by index.
     pub(super) uncommitted: BTreeMap<u64, Rc<Image>>,
-    /// The newest image of this term that lies on a quorum of disks, and its index.
+    /// The newest image of this term that is on a quorum of disks, with its index.
     pub(super) committed: Option<(u64, Rc<Image>)>,
-    pub(super) waiting: Vec<Waiting>,
-    pub(super) inherited: Option<InheritedLeases>,
-    pending: Option<(Rc<DurableState>, AfterSave)>,
+    pub(super) pending_requests: Vec<PendingRequest>,
+    pub(super) inherited_leases: Option<InheritedLeases>,
+    pending_save: Option<(Rc<DurableState>, AfterSave)>,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// A control node with what its disk holds. As it can't know what it promised before it ended, it holds to a
-    /// possible leader for one hold from now.
+    /// Creates the state machine from the state on disk. It cannot know which heartbeats it acknowledged before a
+    /// restart, so it grants no vote for one hold time from now; a leader may still rely on such an acknowledgement.
     pub fn new(
         identity: Identity,
         timing: Timing,
@@ -138,78 +139,79 @@
             role: Role::Follower,
             leader: String::new(),
             hold_until: now + timing.hold,
-            leader_heard: now,
-            followed: BTreeSet::new(),
-            campaign_after: Duration::ZERO,
+            last_leader_contact: now,
+            followed_leaders: BTreeSet::new(),
+            no_campaign_before: Duration::ZERO,
             leading_since: Duration::ZERO,
             leaving: false,
             peers: BTreeMap::new(),
             nonce: 0,
-            newest_term_heard: 0,
-            recent: RecentImages::default(),
+            highest_term_seen: 0,
+            recent_images: RecentImages::default(),
             uncommitted: BTreeMap::new(),
             committed: None,
-            waiting: Vec::new(),
-            inherited: None,
-            pending: None,
+            pending_requests: Vec::new(),
+            inherited_leases: None,
+            pending_save: None,
             effects: Vec::new(),
         };
-        core.note_image();
+        core.record_image();
         core
     }
 
-    /// Takes one input. A state that is returned must be synced before anything else, and [`Core::saved`] told.
+    /// Processes one input. A returned state must be synced before any other call, and the result passed to
+    /// [`Core::saved`].
     pub fn handle(&mut self, clock: Clock, input: Input) -> Option<Rc<DurableState>> {
-        debug_assert!(self.pending.is_none(), "the step before is over");
+        debug_assert!(self.pending_save.is_none(), "the previous state must be saved before the next input");
         match input {
             Input::Connected(hello) => self.on_connected(hello),
             Input::Disconnected(name) => self.on_disconnected(&name),
             Input::Message { from, message } => self.on_message(clock, &from, message),
-            Input::Propose { ticket, change } => self.on_propose(clock, ticket, change),
-            Input::Read { ticket } => self.on_read(clock, ticket),
+            Input::Propose { request_id, change } => self.on_propose(clock, request_id, change),
+            Input::Read { request_id } => self.on_read(clock, request_id),
             Input::Tick => self.on_tick(clock),
             Input::Leave => self.on_leave(clock),
         }
-        self.to_save()
+        self.state_to_save()
     }
 
-    /// Goes on once the state is synced; `false` when the disk had no room for it, and then what it held still stands.
+    /// Continues after the sync; `synced` is `false` if the disk was full, and then the previous state is still in force.
     pub fn saved(&mut self, clock: Clock, synced: bool) -> Option<Rc<DurableState>> {
-        let (state, then) = self.pending.take()?;
+        let (state, next_step) = self.pending_save.take()?;
         if synced {
             self.durable = state;
-            self.note_image();
+            self.record_image();
         }
-        match then {
-            AfterSave::GrantVote { nonce } => self.vote_saved(clock, nonce, synced),
-            AfterSave::AcknowledgeHeartbeat { nonce } => self.acceptance_saved(clock, nonce, synced),
+        match next_step {
+            AfterSave::GrantVote { nonce } => self.after_vote_saved(clock, nonce, synced),
+            AfterSave::AcknowledgeHeartbeat { nonce } => self.after_acceptance_saved(clock, nonce, synced),
             AfterSave::RequestVotes { transfer } if synced => self.request_votes(clock, false, transfer),
             AfterSave::RequestVotes { .. } => {}
-            AfterSave::BeginTerm => self.term_begun(clock, synced),
-            AfterSave::AwaitCommit { ticket } => self.change_saved(clock, ticket, synced),
-            AfterSave::Replicate => self.image_saved(clock, synced),
+            AfterSave::BeginTerm => self.after_term_saved(clock, synced),
+            AfterSave::AwaitCommit { request_id } => self.after_change_saved(clock, request_id, synced),
+            AfterSave::Replicate => self.after_image_saved(clock, synced),
         }
-        self.to_save()
+        self.state_to_save()
     }
 
-    /// What the steps asked for since the last call; acted on once nothing is left to sync.
+    /// Takes the effects collected since the last call; they may be executed only once nothing is left to sync.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Remembers the newest image, so that changes of it can be told.
-    fn note_image(&mut self) {
+    /// Records the newest image, so that deltas from it can be sent.
+    fn record_image(&mut self) {
         if let Some(image) = &self.durable.image {
-            self.recent.note(self.durable.version(), image);
+            self.recent_images.record(self.durable.version(), image);
         }
     }
 
-    fn to_save(&self) -> Option<Rc<DurableState>> {
-        self.pending.as_ref().map(|p| p.0.clone())
+    fn state_to_save(&self) -> Option<Rc<DurableState>> {
+        self.pending_save.as_ref().map(|p| p.0.clone())
     }
 
-    pub(super) fn save(&mut self, state: DurableState, then: AfterSave) {
-        self.pending = Some((Rc::new(state), then));
+    pub(super) fn save(&mut self, state: DurableState, next_step: AfterSave) {
+        self.pending_save = Some((Rc::new(state), next_step));
     }
 
     pub(super) fn effect(&mut self, effect: Effect) {
@@ -220,8 +222,8 @@
         self.effect(Effect::Log(text.into()));
     }
 
-    pub(super) fn resolve(&mut self, ticket: Ticket, outcome: Outcome) {
-        self.effect(Effect::Resolve { ticket, outcome });
+    pub(super) fn resolve(&mut self, request_id: RequestId, outcome: Outcome) {
+        self.effect(Effect::Resolve { request_id, outcome });
     }
 
     fn on_connected(&mut self, hello: PeerHello) {
@@ -234,9 +236,9 @@
         }
         *peer = Peer {
             incarnation: hello.incarnation,
-            empty: hello.empty,
+            has_no_image: hello.has_no_image,
             rescued: hello.rescued,
-            takes_deltas: hello.takes_deltas,
+            accepts_deltas: hello.accepts_deltas,
             may_form: hello.may_form,
             address: hello.address,
             zone: hello.zone,
@@ -244,8 +246,8 @@
             leaving: false,
             version: None,
             last_ack: peer.last_ack,
-            image_sent: None,
-            sent: VecDeque::new(),
+            image_in_flight: None,
+            sent_heartbeats: VecDeque::new(),
         };
     }
 
@@ -260,25 +262,26 @@
             Message::VoteRequest(m) => self.on_vote_request(clock, from, m),
             Message::VoteResponse(m) => self.on_vote_response(from, m),
             Message::Heartbeat(m) => self.on_heartbeat(clock, from, *m),
-            Message::HeartbeatAck(m) => self.on_acknowledgement(clock, from, m),
+            Message::HeartbeatAck(m) => self.on_heartbeat_ack(clock, from, m),
         }
     }
 
     fn on_tick(&mut self, clock: Clock) {
         match &self.role {
             Role::Leader if self.quorum_lost(clock.now) => {
-                // It may still be heard where it hears nobody: whoever hears it need not wait for silence.
-                self.log("no quorum answers");
+                // Its messages may still arrive although no acknowledgement reaches it; a successor that receives the
+                // transfer need not wait for the hold to end.
+                self.log("no quorum acknowledges heartbeats; stepping down");
                 self.transfer_leadership(clock);
             }
-            Role::Leader => self.lead_on(clock),
-            _ if self.durable.empty() => self.form(),
-            Role::Follower if clock.now >= self.hold_until.max(self.campaign_after) => self.campaign(clock, false),
+            Role::Leader => self.on_leader_tick(clock),
+            _ if self.durable.has_no_image() => self.try_form(),
+            Role::Follower if clock.now >= self.hold_until.max(self.no_campaign_before) => self.campaign(clock, false),
             Role::Candidate { since, wait, .. } if clock.now >= *since + *wait => self.campaign(clock, false),
             _ => {}
         }
         if self.role == Role::Leader {
-            // The lease may have run out.
+            // The leader lease may have expired since the last tick.
             self.effect(Effect::Changed);
         }
     }
@@ -291,29 +294,30 @@
         self.effect(Effect::Changed);
     }
 
-    /// Stops leading or asking, and follows a leader, if one is named.
+    /// Gives up leadership or candidacy and follows `leader`; empty if no leader is known.
     pub(super) fn follow(&mut self, leader: &str) {
-        let led = self.role == Role::Leader;
+        let was_leader = self.role == Role::Leader;
         self.role = Role::Follower;
         self.leader = leader.into();
         self.committed = None;
         self.uncommitted.clear();
-        for waiting in std::mem::take(&mut self.waiting) {
-            match waiting {
-                Waiting::Commit { ticket, .. } => self.resolve(ticket, Outcome::Unknown),
-                Waiting::Confirmation { ticket, .. } => self.resolve(ticket, Outcome::Unavailable),
+        for request in std::mem::take(&mut self.pending_requests) {
+            match request {
+                PendingRequest::Commit { request_id, .. } => self.resolve(request_id, Outcome::Unknown),
+                PendingRequest::Confirmation { request_id, .. } => self.resolve(request_id, Outcome::Unavailable),
             }
         }
-        if led {
+        if was_leader {
             self.log("no longer leading");
             self.effect(Effect::Changed);
         }
     }
 
-    /// Promises to vote for nobody else for a hold; a little chance keeps two nodes from asking at once afterwards.
+    /// Grants no vote for one hold time from now. A random part of up to one heartbeat interval keeps two nodes from
+    /// starting elections at the same moment afterwards.
     pub(super) fn renew_hold(&mut self, clock: Clock) {
-        let spread = Duration::from_millis(clock.random % (self.timing.heartbeat.as_millis() as u64).max(1));
-        self.hold_until = clock.now + self.timing.hold + spread;
+        let jitter = Duration::from_millis(clock.random % (self.timing.heartbeat.as_millis() as u64).max(1));
+        self.hold_until = clock.now + self.timing.hold + jitter;
     }
 
     pub(super) fn next_nonce(&mut self) -> u64 {
@@ -321,13 +325,13 @@
         self.nonce
     }
 
-    /// Where this node's image stands.
+    /// Version of this node's newest image.
     pub(super) fn version(&self) -> Version {
         self.durable.version()
     }
 
-    /// Whether a disk of this incarnation counts in the newest image.
-    pub(super) fn counts(&self, name: &str, incarnation: u64) -> bool {
+    /// Whether a disk with this incarnation belongs to a member according to the newest image.
+    pub(super) fn is_current_member(&self, name: &str, incarnation: u64) -> bool {
         let Some(image) = &self.durable.image else { return false };
         if self.guards.any_incarnation {
             return image.members.iter().any(|m| m.name == name);
@@ -335,98 +339,108 @@
         quorum::is_member(image, name, incarnation)
     }
 
-    pub(super) fn counts_itself(&self) -> bool {
-        self.counts(&self.identity.name, self.durable.incarnation)
+    pub(super) fn is_itself_member(&self) -> bool {
+        self.is_current_member(&self.identity.name, self.durable.incarnation)
     }
 
-    /// Whether a member passes a test, by what is known of the disk it names; `own` is this node's answer.
-    pub(super) fn member_passes(&self, member: &Member, own: bool, test: impl Fn(&Peer) -> bool) -> bool {
-        let same = |incarnation: u64| incarnation == member.incarnation || self.guards.any_incarnation;
+    /// Whether a member satisfies a predicate; `false` if its node now has a disk of another incarnation.
+    /// `own` is the result for this node itself.
+    pub(super) fn member_satisfies(
+        &self,
+        member: &Member,
+        self_satisfies: bool,
+        predicate: impl Fn(&Peer) -> bool,
+    ) -> bool {
+        let same_incarnation = |incarnation: u64| incarnation == member.incarnation || self.guards.any_incarnation;
         if member.name == self.identity.name {
-            return own && same(self.durable.incarnation);
+            return self_satisfies && same_incarnation(self.durable.incarnation);
         }
-        self.peers.get(&member.name).is_some_and(|p| same(p.incarnation) && test(p))
+        self.peers.get(&member.name).is_some_and(|p| same_incarnation(p.incarnation) && predicate(p))
     }
 
-    /// The latest moment since which a quorum is known to hold to this leader.
+    /// The latest time at which a quorum is known to have followed this leader: acknowledged heartbeats count from when
+    /// they were sent.
     pub(super) fn quorum_contact(&self, now: Duration) -> Option<Duration> {
         let image = self.durable.image.as_ref()?;
-        quorum::quorum_moment(image, |member| {
+        quorum::latest_quorum_time(image, |member| {
             if member.name == self.identity.name {
-                return self.member_passes(member, true, |_| false).then_some(now);
+                return self.member_satisfies(member, true, |_| false).then_some(now);
             }
             let peer = self.peers.get(&member.name)?;
-            self.member_passes(member, false, |_| true).then_some(peer.last_ack).flatten()
+            self.member_satisfies(member, false, |_| true).then_some(peer.last_ack).flatten()
         })
     }
 
     fn quorum_lost(&self, now: Duration) -> bool {
         let contact = self.quorum_contact(now).unwrap_or_default().max(self.leading_since);
-        now > contact + self.timing.quorum_patience && !self.guards.no_lease
+        now > contact + self.timing.quorum_timeout && !self.guards.no_lease
     }
 
-    /// Whether this node leads for sure: its term is committed and a quorum was heard within the lease.
-    pub fn leads(&self, now: Duration) -> bool {
+    /// Whether this node is the leader with a valid lease: an image of its term is committed, and a quorum acknowledged
+    /// a heartbeat that was sent within the leader lease.
+    pub fn leads_with_lease(&self, now: Duration) -> bool {
         let in_lease = |t: Duration| now < t + self.timing.lease;
         self.role == Role::Leader
             && self.committed.is_some()
             && (self.guards.no_lease || self.quorum_contact(now).is_some_and(in_lease))
     }
 
-    /// The newest image known to lie on a quorum of disks; only while leading.
+    /// The newest image known to be on a quorum of disks; `None` unless this node leads.
     pub fn committed_image(&self) -> Option<Rc<Image>> {
         self.committed.as_ref().map(|c| c.1.clone())
     }
 
-    /// Where the newest image stands that is known to lie on a quorum of disks; only while leading.
+    /// Version of the newest image known to be on a quorum of disks; `None` unless this node leads.
     pub fn committed_version(&self) -> Option<Version> {
         self.committed.as_ref().map(|c| Version { term: self.durable.term, index: c.0 })
     }
 
-    /// What lies on this node's disk, or will once the present step is over.
+    /// The state on this node's disk.
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
-    /// The newest term this node knows, and since when it leads it.
+    /// The term of this node, and the time since which it leads (if it leads).
     pub fn term(&self) -> (u64, Duration) {
         (self.durable.term, self.leading_since)
     }
 
-    /// Whether this node leads a term, for sure or not.
+    /// Whether this node has the leader role, with or without a valid lease.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Whether this node asked others for something that they are to answer.
-    pub fn awaits_answers(&self) -> bool {
+    /// Whether this node sends messages that the other control nodes respond to.
+    pub fn expects_responses(&self) -> bool {
         self.role != Role::Follower
     }
 
-    /// Who leads, as far as this node knows.
+    /// Name of the leader known to this node; empty if none is known.
     pub fn leader(&self) -> &str {
         if self.is_leader() { &self.identity.name } else { &self.leader }
     }
 
-    /// What the leader of the term before left to this node, where it handed over and nobody led between.
+    /// The outstanding leases that the leader of the previous term reported to this node with a leadership transfer;
+    /// `None` if there was no transfer or another term came between.
     pub fn inherited_leases(&self) -> Option<&InheritedLeases> {
-        self.inherited.as_ref().filter(|i| i.term + 1 == self.durable.term)
+        self.inherited_leases.as_ref().filter(|i| i.term + 1 == self.durable.term)
     }
 
-    /// Whether a control node that led before is alive and follows this leader.
-    pub fn earlier_leader_alive(&self) -> bool {
-        let alive = |name: &String| self.peers.get(name).is_some_and(|p| p.connected && p.last_ack.is_some());
-        self.followed.iter().any(alive)
+    /// Whether a former leader that this node followed is connected and acknowledges this leader's heartbeats.
+    pub fn former_leader_follows(&self) -> bool {
+        let is_following = |name: &String| self.peers.get(name).is_some_and(|p| p.connected && p.last_ack.is_some());
+        self.followed_leaders.iter().any(is_following)
     }
 
-    /// Whether this node was told to leave and nothing more can be handed over.
-    pub fn may_end(&self) -> bool {
+    /// Whether this node is leaving and no replacement for its membership can be awaited any more.
+    pub fn can_shut_down(&self) -> bool {
         self.leaving && !self.awaits_replacement()
     }
 
-    /// Whether it is still a member that another connected control node could replace.
+    /// Whether this node is still a member and a connected control node that is no member could replace it.
     fn awaits_replacement(&self) -> bool {
-        let spare = |(name, peer): (&String, &Peer)| peer.connected && !self.counts(name, peer.incarnation);
-        self.counts_itself() && self.peers.iter().any(spare)
+        let is_replacement =
+            |(name, peer): (&String, &Peer)| peer.connected && !self.is_current_member(name, peer.incarnation);
+        self.is_itself_member() && self.peers.iter().any(is_replacement)
     }
 }
--- a/hub/src/consensus/images.rs
+++ b/hub/src/consensus/images.rs
@@ -1,5 +1,5 @@
-//! How the image reaches the other control nodes. Heartbeats never wait for it: it goes in messages of its own, as a change
-//! of what the other side holds wherever this node still knows that, and whole otherwise.
+//! Sending the image to the other control nodes. Plain heartbeats never wait for it: it goes in heartbeat messages of its
+//! own, as a delta to the image that the receiver holds if this node still has that image, and whole otherwise.
 
 use std::{collections::VecDeque, fmt, rc::Rc, time::Duration};
 
@@ -11,97 +11,98 @@
 };
 use crate::store::Version;
 
-/// How many images a control node remembers to tell changes of.
-const REMEMBERED: usize = 6;
+/// Number of recent images that a control node keeps as bases of deltas.
+const MAX_RECENT_IMAGES: usize = 6;
 
-/// An image on its way to another control node; an answer to it may be under way.
+/// An image that was sent to another control node and is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentImage {
     pub version: Version,
     /// The nonce of the message that carried it.
     pub nonce: u64,
-    pub at: Duration,
+    pub sent_at: Duration,
 }
 
-/// The newest images that this node held, and the change that was last worked out.
+/// The newest images of this node, and the delta computed last.
 #[derive(Clone, Default)]
 pub(super) struct RecentImages {
     images: VecDeque<(Version, Rc<Image>)>,
-    newest_delta: Option<(Version, Version, Rc<ImageDelta>)>,
+    cached_delta: Option<(Version, Version, Rc<ImageDelta>)>,
 }
 
 impl fmt::Debug for RecentImages {
-    /// Versions tell images apart.
+    /// Prints the versions only; they identify the images.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_list().entries(self.images.iter().map(|i| i.0)).finish()
     }
 }
 
 impl RecentImages {
-    /// Remembers an image.
-    pub fn note(&mut self, version: Version, image: &Rc<Image>) {
+    /// Adds an image and drops the oldest beyond the limit.
+    pub fn record(&mut self, version: Version, image: &Rc<Image>) {
         if self.images.back().is_some_and(|newest| newest.0 == version) {
             return;
         }
         self.images.push_back((version, image.clone()));
-        if self.images.len() > REMEMBERED {
+        if self.images.len() > MAX_RECENT_IMAGES {
             self.images.pop_front();
         }
     }
 
-    /// What leads from one image to a newer one, if the older is remembered. All who hold the same are told the same.
+    /// The delta from the image of version `base` to `image`; `None` if the base is no longer kept. The last delta is
+    /// cached, because several nodes usually hold the same base.
     fn delta(&mut self, base: Version, version: Version, image: &Rc<Image>) -> Option<Rc<ImageDelta>> {
-        if let Some((from, to, delta)) = &self.newest_delta
+        if let Some((from, to, delta)) = &self.cached_delta
             && (*from, *to) == (base, version)
         {
             return Some(delta.clone());
         }
         let (_, old) = self.images.iter().find(|i| i.0 == base)?;
-        // A new leader writes the image that it found again under its own term.
+        // A new leader saves its image again under its own term, so two versions may share one image.
         let is_same = Rc::ptr_eq(old, image);
         let delta = Rc::new(if is_same { ImageDelta::default() } else { old.delta_to(image) });
-        self.newest_delta = Some((base, version, delta.clone()));
+        self.cached_delta = Some((base, version, delta.clone()));
         Some(delta)
     }
 }
 
 impl Peer {
-    /// The image that is under way to it, if an answer may still come.
-    fn under_way(&self, now: Duration, patience: Duration) -> Option<Version> {
-        self.image_sent.filter(|sent| now < sent.at + patience).map(|sent| sent.version)
+    /// Version of the image that was sent to it, unless the acknowledgement is overdue.
+    fn version_in_flight(&self, now: Duration, resend_after: Duration) -> Option<Version> {
+        self.image_in_flight.filter(|sent| now < sent.sent_at + resend_after).map(|sent| sent.version)
     }
 
-    /// Whether it is to be sent this image now: it lacks it, and it is not under way.
-    fn wants_image(&self, version: Version, now: Duration, patience: Duration) -> bool {
-        let lacks = self.version.is_some_and(|held| held != version);
-        self.connected && lacks && self.under_way(now, patience) != Some(version)
+    /// Whether this image has to be sent to it now: it does not hold the image, and the image is not in flight.
+    fn needs_image(&self, version: Version, now: Duration, resend_after: Duration) -> bool {
+        let is_outdated = self.version.is_some_and(|held| held != version);
+        self.connected && is_outdated && self.version_in_flight(now, resend_after) != Some(version)
     }
 
-    /// What it holds once everything that is under way has come.
-    fn will_hold(&self, now: Duration, patience: Duration) -> Version {
+    /// The version that it will hold once the image in flight has arrived.
+    fn expected_version(&self, now: Duration, resend_after: Duration) -> Version {
         let held = self.version.unwrap_or_default();
-        self.under_way(now, patience).map_or(held, |sent| sent.max(held))
+        self.version_in_flight(now, resend_after).map_or(held, |sent| sent.max(held))
     }
 }
 
 impl Core {
-    /// Sends the newest image to whoever lacks it.
+    /// Sends the newest image to every connected control node that does not hold it.
     pub(super) fn send_images(&mut self, clock: Clock) {
-        let names: Vec<String> = self.peers.keys().cloned().collect();
-        names.iter().for_each(|name| self.send_image(clock, name));
+        let peer_names: Vec<String> = self.peers.keys().cloned().collect();
+        peer_names.iter().for_each(|name| self.send_image(clock, name));
     }
 
-    /// Sends the newest image to another control node, if it lacks it.
+    /// Sends the newest image to one control node, if this node leads and the other does not hold the image.
     pub(super) fn send_image(&mut self, clock: Clock, to: &str) {
-        let (version, patience) = (self.version(), self.timing.image_patience);
+        let (version, resend_after) = (self.version(), self.timing.image_resend_after);
         let Some(image) = self.durable.image.clone().filter(|_| self.role == Role::Leader) else { return };
         let Some(peer) = self.peers.get(to) else { return };
-        if !peer.wants_image(version, clock.now, patience) {
+        if !peer.needs_image(version, clock.now, resend_after) {
             return;
         }
-        let base = peer.will_hold(clock.now, patience);
-        let takes_deltas = peer.takes_deltas && !peer.rescued && !peer.empty;
-        let delta = if takes_deltas { self.recent.delta(base, version, &image) } else { None };
+        let base = peer.expected_version(clock.now, resend_after);
+        let accepts_deltas = peer.accepts_deltas && !peer.rescued && !peer.has_no_image;
+        let delta = if accepts_deltas { self.recent_images.delta(base, version, &image) } else { None };
         let nonce = self.next_nonce();
         let heartbeat = Heartbeat {
             term: self.durable.term,
@@ -116,14 +117,15 @@
             ..Heartbeat::default()
         };
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.note_sent(nonce, clock.now);
-            peer.image_sent = Some(SentImage { version, nonce, at: clock.now });
+            peer.record_sent(nonce, clock.now);
+            peer.image_in_flight = Some(SentImage { version, nonce, sent_at: clock.now });
         }
         self.effect(Effect::Send { to: to.into(), message: Message::Heartbeat(Box::new(heartbeat)) });
     }
 
-    /// The image that a heartbeat brings, if it is newer than this node's and fits it.
-    pub(super) fn image_brought(&self, heartbeat: &mut Heartbeat) -> Option<Rc<Image>> {
+    /// The image carried by a heartbeat, whole or as a delta. `None` if it is not newer than this node's image, or if the
+    /// delta has another base.
+    pub(super) fn received_image(&self, heartbeat: &mut Heartbeat) -> Option<Rc<Image>> {
         let version = Version { term: heartbeat.version_term, index: heartbeat.version_index };
         if version <= self.version() && !self.durable.rescued {
             return None;
@@ -133,10 +135,10 @@
         }
         let delta = heartbeat.delta.take()?;
         let base = Version { term: heartbeat.base_term, index: heartbeat.base_index };
-        let own = self.durable.image.as_ref().filter(|_| base == self.version() && !self.durable.rescued)?;
+        let own_image = self.durable.image.as_ref().filter(|_| base == self.version() && !self.durable.rescued)?;
         if delta.rest.is_none() {
-            return Some(own.clone());
+            return Some(own_image.clone());
         }
-        own.apply(&delta).map(Rc::new)
+        own_image.apply(&delta).map(Rc::new)
     }
 }
--- a/hub/src/consensus/links.rs
+++ b/hub/src/consensus/links.rs
@@ -1,4 +1,4 @@
-//! Links to the other control nodes, over which this node's own requests go out.
+//! Outgoing links to the other control nodes. This node sends its own messages over them and receives the replies.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,68 +12,70 @@
 
 use super::{Consensus, Input, PeerHello};
 
-/// For how many spans that make a member count as lost a guest is dialled after it was last heard of.
-const GUEST_MEMORY: u32 = 4;
+/// A discovered control node is dialled until it was not seen for this multiple of the time after which a server counts
+/// as gone.
+const DISCOVERED_NODE_EXPIRY_FACTOR: u32 = 4;
 
-/// After how many holds of silence a leader gives a link up.
-const SILENT_HOLDS: u32 = 4;
+/// Hold times without a message after which a leader or candidate closes a link.
+const SILENT_LINK_HOLDS: u32 = 4;
 
 impl Consensus {
-    /// Another control node dialled this one or told of itself; it is dialled from now on.
+    /// Records the address of a control node that connected to this one or was reported in a heartbeat; it is dialled
+    /// from now on. An invalid address is ignored.
     pub fn met(&self, address: &str) {
         if let Ok(address) = address.parse() {
-            self.guests.borrow_mut().insert(address, self.env.now());
+            self.discovered.borrow_mut().insert(address, self.env.now());
         }
     }
 
-    /// Keeps a link to every other control node: those in the settings, the members, those that came by.
+    /// Keeps a link to every other known control node: seeds in the settings, members and discovered nodes.
     pub async fn keep_links(self: Rc<Self>) -> Result<(), Infallible> {
         let mut tasks: BTreeMap<SocketAddr, TaskGuard> = BTreeMap::new();
         loop {
-            self.forget_guests();
+            self.expire_discovered();
             let addresses = self.addresses();
             tasks.retain(|address, _| addresses.contains(address));
             for address in addresses {
                 tasks.entry(address).or_insert_with(|| {
-                    let me = self.clone();
-                    self.env.spawn(async move { me.keep_link(address).await })
+                    let this = self.clone();
+                    self.env.spawn(async move { this.maintain_link(address).await })
                 });
             }
             self.env.sleep(self.bounds.control_heartbeat()).await;
         }
     }
 
-    /// Guests that have not been heard of for long are gone for good, or come by again.
-    fn forget_guests(&self) {
+    /// Removes discovered control nodes that have not been seen for long; one that returns is discovered again.
+    fn expire_discovered(&self) {
         let now = self.env.now();
         let connected = self.connected.borrow();
-        self.guests.borrow_mut().retain(|address, last| {
+        self.discovered.borrow_mut().retain(|address, last_seen| {
             if connected.contains(address) {
-                *last = now;
+                *last_seen = now;
             }
-            now < *last + self.bounds.server_gone_after() * GUEST_MEMORY
+            now < *last_seen + self.bounds.server_gone_after() * DISCOVERED_NODE_EXPIRY_FACTOR
         });
     }
 
-    /// The other control nodes that this node knows of. An address with a link stays, so that no task ends in the midst
-    /// of it.
+    /// Addresses of the other known control nodes. An address with an open link stays included, so that the task that
+    /// runs the link is not cancelled.
     pub fn addresses(&self) -> BTreeSet<SocketAddr> {
-        let mut all: BTreeSet<SocketAddr> = self.identity.seeds.iter().copied().collect();
-        all.extend(self.guests.borrow().keys());
-        all.extend(self.connected.borrow().iter());
+        let mut addresses: BTreeSet<SocketAddr> = self.identity.seeds.iter().copied().collect();
+        addresses.extend(self.discovered.borrow().keys());
+        addresses.extend(self.connected.borrow().iter());
         if let Some(image) = &self.core.borrow().durable().image {
             let members = image.members.iter().chain(&image.outgoing_members);
-            all.extend(members.filter_map(|m| m.address.parse::<SocketAddr>().ok()));
+            addresses.extend(members.filter_map(|m| m.address.parse::<SocketAddr>().ok()));
         }
-        all.remove(&self.identity.address);
-        all
+        addresses.remove(&self.identity.address);
+        addresses
     }
 
-    async fn keep_link(self: Rc<Self>, address: SocketAddr) {
+    async fn maintain_link(self: Rc<Self>, address: SocketAddr) {
         loop {
-            if let Some((hello, input, out)) = self.dial(address).await.filter(|d| d.0.name != self.identity.name) {
+            if let Some((hello, input, output)) = self.dial(address).await.filter(|d| d.0.name != self.identity.name) {
                 self.connected.borrow_mut().insert(address);
-                self.use_link(hello, input, out).await;
+                self.run_link(hello, input, output).await;
                 self.connected.borrow_mut().remove(&address);
             }
             self.env.sleep(self.bounds.control_heartbeat()).await;
@@ -81,47 +83,47 @@
     }
 
     async fn dial(&self, address: SocketAddr) -> Option<(Hello, LinkReader, LinkWriter)> {
-        let span = self.bounds.call_timeout();
-        let stream = self.env.connect(address, span).await.ok()?;
-        let (mut input, out) = wire::open(&self.env, stream);
+        let timeout = self.bounds.call_timeout();
+        let stream = self.env.connect(address, timeout).await.ok()?;
+        let (mut input, output) = wire::open(&self.env, stream);
         let mut hello = Hello {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
             hub: true,
             peer: self.identity.address.to_string(),
-            boot_id: self.boot,
+            boot_id: self.boot_id,
             bounds_digest: self.bounds.digest(),
             pieces: true,
             ..Hello::default()
         };
         self.hello(&mut hello);
-        out.send(Body::Hello(hello));
-        match self.env.timeout(span, input.next()).await {
-            Ok(Ok(Body::Hello(h))) if h.hub && self.agrees(&h.name, h.bounds_digest) => Some((h, input, out)),
+        output.send(Body::Hello(hello));
+        match self.env.timeout(timeout, input.next()).await {
+            Ok(Ok(Body::Hello(h))) if h.hub && self.agrees(&h.name, h.bounds_digest) => Some((h, input, output)),
             _ => None,
         }
     }
 
-    async fn use_link(&self, hello: Hello, mut input: LinkReader, out: LinkWriter) {
+    async fn run_link(&self, hello: Hello, mut input: LinkReader, output: LinkWriter) {
         let name = hello.name.clone();
-        self.links.borrow_mut().insert(name.clone(), out);
+        self.links.borrow_mut().insert(name.clone(), output);
         let hello = PeerHello {
             name: hello.name,
             zone: hello.zone,
             address: hello.peer,
             incarnation: hello.incarnation,
-            empty: hello.empty,
+            has_no_image: hello.empty,
             rescued: hello.rescued,
             may_form: hello.may_form,
-            takes_deltas: hello.pieces,
+            accepts_deltas: hello.pieces,
         };
         self.queue(Input::Connected(hello), None);
         loop {
-            match self.env.timeout(self.bounds.leader_hold() * SILENT_HOLDS, input.next()).await {
+            match self.env.timeout(self.bounds.leader_hold() * SILENT_LINK_HOLDS, input.next()).await {
                 Ok(Ok(body)) => self.frame(&name, body, None),
                 Ok(Err(_)) => break,
-                // A silent link only matters to one who wants answers over it.
-                Err(_) if !self.core.borrow().awaits_answers() => {}
+                // A follower expects no messages over its outgoing links, so silence is no sign of a broken link.
+                Err(_) if !self.core.borrow().expects_responses() => {}
                 Err(_) => break,
             }
         }
--- a/hub/src/consensus/mod.rs
+++ b/hub/src/consensus/mod.rs
@@ -1,8 +1,8 @@
-//! Consensus of the control nodes on one image: terms, votes, leases, quorums, membership.
+//! Consensus of the control nodes on one image, the replicated state: terms, votes, leases, quorums, membership.
 //!
-//! [`Core`] decides: it takes inputs one at a time and gives back what is to be synced and what is to be sent, without
-//! any I/O, so that tests can explore it. [`Consensus`] obeys: it owns the disk, the links and the waiting callers.
-//! docs/control-state.md argues what holds and why.
+//! [`Core`] is the state machine: it processes one input at a time and returns the states to sync and the messages to send,
+//! without any I/O, so that tests can explore it. [`Consensus`] executes this: it owns the disk, the links and the pending
+//! requests. docs/control-state.md states the invariants and the reasons for them.
 
 mod core;
 mod election;
@@ -17,7 +17,7 @@
 
 pub use core::Core;
 pub use quorum::{has_quorum, is_member};
-pub use service::{Consensus, Queue};
+pub use service::{Consensus, InputQueue};
 pub use types::{
-    Change, Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, Ticket, Timing,
+    Change, Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, RequestId, Timing,
 };
--- a/hub/src/consensus/service.rs
+++ b/hub/src/consensus/service.rs
@@ -1,4 +1,4 @@
-//! The task that obeys the consensus core: it syncs, sends and tells those who wait.
+//! The task that runs the consensus core: it syncs states, sends messages and resolves pending requests.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,88 +19,92 @@
 };
 use wire::{Body, Hello, Image, LinkWriter, OutstandingLease};
 
-use super::{Change, Clock, Core, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, Ticket, Timing};
+use super::{
+    Change, Clock, Core, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, RequestId, Timing,
+};
 use crate::store::{DurableState, Store};
 
-/// How many ticks a node that does not lead takes in one heartbeat, so that it notices the end of a hold early.
+/// Ticks per heartbeat interval on a node that does not lead, so that it notices the end of its hold time early.
 const TICKS_PER_HEARTBEAT: u32 = 8;
 
-/// Lists the leases on groups' primaries that may still stand.
+/// Lists the leases on groups' primaries that may still be valid.
 type LeaseReporter = Box<dyn Fn() -> Vec<OutstandingLease>>;
 
-/// One input with the link that a reply goes out on.
-pub struct Job {
+/// An input for the core, with the link over which to send a reply.
+pub struct QueuedInput {
     input: Input,
     reply: Option<LinkWriter>,
 }
 
-/// What waits for the core.
-pub type Queue = mpsc::UnboundedReceiver<Job>;
+/// Receiver of the inputs that wait for the core.
+pub type InputQueue = mpsc::UnboundedReceiver<QueuedInput>;
 
-/// A control node's part in the consensus.
+/// The consensus service of one control node.
 pub struct Consensus {
     pub(super) env: Env,
     pub(super) identity: Identity,
     pub(super) bounds: Bounds,
-    /// A random number of this run of the process.
-    pub(super) boot: u64,
+    /// A random number that identifies this run of the process.
+    pub(super) boot_id: u64,
     pub(super) core: RefCell<Core>,
-    pub(super) queue: mpsc::UnboundedSender<Job>,
-    /// Rung when leadership, commitment or contact moved.
+    pub(super) queue: mpsc::UnboundedSender<QueuedInput>,
+    /// Notified when leadership, the committed image or the contact to a quorum may have changed.
     pub bell: Notify,
-    /// Links that this node dialled, by the name of the other side.
+    /// Open outgoing links, by the name of the other control node.
     pub(super) links: RefCell<BTreeMap<String, LinkWriter>>,
-    /// Control nodes that dialled this node or told of themselves, and when they last did or were connected.
-    pub(super) guests: RefCell<BTreeMap<SocketAddr, Duration>>,
-    /// Addresses to which a link stands.
+    /// Addresses of control nodes that connected to this node or were reported in heartbeats, with the time when they were
+    /// last seen.
+    pub(super) discovered: RefCell<BTreeMap<SocketAddr, Duration>>,
+    /// Addresses with an open outgoing link.
     pub(super) connected: RefCell<BTreeSet<SocketAddr>>,
-    waiting: RefCell<BTreeMap<Ticket, oneshot::Sender<Outcome>>>,
-    tickets: Cell<Ticket>,
+    pending_requests: RefCell<BTreeMap<RequestId, oneshot::Sender<Outcome>>>,
+    last_request_id: Cell<RequestId>,
     tick_queued: Cell<bool>,
     lease_reporter: RefCell<Option<LeaseReporter>>,
     guards: Guards,
-    /// Processes that were told of in the log as counting by other bounds.
-    other_bounds: RefCell<BTreeSet<String>>,
+    /// Names of processes whose different bounds were logged already.
+    logged_bounds_mismatches: RefCell<BTreeSet<String>>,
 }
 
 impl Consensus {
-    /// A control node with what its disk holds; `target_members` are to agree.
+    /// Creates the service from the state on disk, and the queue for [`Consensus::run`]. `target_members` is the number of
+    /// members to reach and keep.
     pub fn new(
         env: &Env,
         identity: Identity,
-        boot: u64,
+        boot_id: u64,
         bounds: Bounds,
         target_members: usize,
         durable: DurableState,
         guards: Guards,
-    ) -> (Rc<Self>, Queue) {
+    ) -> (Rc<Self>, InputQueue) {
         let timing = Timing::from_bounds(&bounds);
         let core = Core::new(identity.clone(), timing, target_members, durable, guards, env.now());
-        let (queue, jobs) = mpsc::unbounded();
-        let me = Self {
+        let (queue, inputs) = mpsc::unbounded();
+        let service = Self {
             env: env.clone(),
             identity,
             bounds,
-            boot,
+            boot_id,
             core: RefCell::new(core),
             queue,
             bell: Notify::default(),
             links: RefCell::default(),
-            guests: RefCell::default(),
+            discovered: RefCell::default(),
             connected: RefCell::default(),
-            waiting: RefCell::default(),
-            tickets: Cell::default(),
+            pending_requests: RefCell::default(),
+            last_request_id: Cell::default(),
             tick_queued: Cell::default(),
             lease_reporter: RefCell::default(),
             guards,
-            other_bounds: RefCell::default(),
+            logged_bounds_mismatches: RefCell::default(),
         };
-        (Rc::new(me), jobs)
+        (Rc::new(service), inputs)
     }
 
-    /// Takes inputs in turn; the only task that changes what this node remembers.
-    pub async fn run(self: Rc<Self>, mut jobs: Queue, mut store: Store) {
-        while let Some(Job { input, reply }) = jobs.next().await {
+    /// Processes the queued inputs in order; the only task that changes the state on disk.
+    pub async fn run(self: Rc<Self>, mut inputs: InputQueue, mut store: Store) {
+        while let Some(QueuedInput { input, reply }) = inputs.next().await {
             if matches!(input, Input::Tick) {
                 self.tick_queued.set(false);
             }
@@ -111,27 +115,27 @@
             }
             let effects = self.core.borrow_mut().take_effects();
             for effect in effects {
-                self.obey(effect, reply.as_ref());
+                self.execute(effect, reply.as_ref());
             }
         }
     }
 
-    fn step<T>(&self, act: impl FnOnce(&mut Core, Clock) -> T) -> T {
+    fn step<T>(&self, call: impl FnOnce(&mut Core, Clock) -> T) -> T {
         let clock = Clock { now: self.env.now(), random: self.env.rand() };
-        act(&mut self.core.borrow_mut(), clock)
+        call(&mut self.core.borrow_mut(), clock)
     }
 
-    fn obey(&self, effect: Effect, reply: Option<&LinkWriter>) {
+    fn execute(&self, effect: Effect, reply: Option<&LinkWriter>) {
         match effect {
-            Effect::Send { to, message } => self.send(&to, message),
+            Effect::Send { to, message } => self.send_to(&to, message),
             Effect::Reply(message) => {
-                if let Some(out) = reply {
-                    out.send(message.into_body());
+                if let Some(link) = reply {
+                    link.send(message.into_body());
                 }
             }
-            Effect::Resolve { ticket, outcome } => {
-                if let Some(done) = self.waiting.borrow_mut().remove(&ticket) {
-                    let _ = done.send(outcome);
+            Effect::Resolve { request_id, outcome } => {
+                if let Some(sender) = self.pending_requests.borrow_mut().remove(&request_id) {
+                    let _ = sender.send(outcome);
                 }
             }
             Effect::Changed => self.bell.notify_waiters(),
@@ -139,22 +143,23 @@
         }
     }
 
-    fn send(&self, to: &str, mut message: Message) {
+    fn send_to(&self, to: &str, mut message: Message) {
         if let Message::Heartbeat(heartbeat) = &mut message
             && heartbeat.transfer
         {
             heartbeat.leases = self.lease_reporter.borrow().as_ref().map(|report| report()).unwrap_or_default();
         }
-        if let Some(out) = self.links.borrow().get(to) {
-            out.send(message.into_body());
+        if let Some(link) = self.links.borrow().get(to) {
+            link.send(message.into_body());
         }
     }
 
     pub(super) fn queue(&self, input: Input, reply: Option<LinkWriter>) {
-        let _ = self.queue.unbounded_send(Job { input, reply });
+        let _ = self.queue.unbounded_send(QueuedInput { input, reply });
     }
 
-    /// Tells the core that time goes on. One tick waits at most, so that a disk that hangs leaves no heap of them.
+    /// Queues a tick for the core periodically. At most one tick is queued, so that they don't pile up while the disk
+    /// hangs.
     pub async fn ticks(self: Rc<Self>) {
         loop {
             if !self.tick_queued.replace(true) {
@@ -165,117 +170,122 @@
         }
     }
 
-    /// Takes a frame from another control node.
+    /// Queues a frame from another control node, if it is part of the consensus.
     pub fn frame(&self, from: &str, body: Body, reply: Option<LinkWriter>) {
         if let Some(message) = Message::from_body(body) {
             self.queue(Input::Message { from: from.into(), message }, reply);
         }
     }
 
-    async fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> Outcome {
-        let ticket = self.tickets.get() + 1;
-        self.tickets.set(ticket);
-        let (done, wait) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, done);
-        self.queue(input(ticket), None);
-        wait.await.unwrap_or(Outcome::Unknown)
+    async fn request(&self, input: impl FnOnce(RequestId) -> Input) -> Outcome {
+        let request_id = self.last_request_id.get() + 1;
+        self.last_request_id.set(request_id);
+        let (sender, outcome) = oneshot::channel();
+        self.pending_requests.borrow_mut().insert(request_id, sender);
+        self.queue(input(request_id), None);
+        outcome.await.unwrap_or(Outcome::Unknown)
     }
 
-    /// Proposes a change of the image. An error that `make` gives is returned only once the image that it saw is
-    /// committed and a quorum confirmed this leader after the call; `Unconfirmed` and `Unknown` come where that failed.
+    /// Proposes a change of the image and waits until it is committed. An error of `make` is returned only once the image
+    /// that it was given is committed and a quorum has confirmed this leader after the call. Other errors: `Unconfirmed` if
+    /// nothing was changed, `OutcomeUnknown` if the change may still be committed, `DiskFull`.
     pub async fn propose(
         &self,
         make: impl FnOnce(&Image) -> Result<Image, ErrorKind> + 'static,
     ) -> Result<Rc<Image>, ErrorKind> {
-        let refused: Rc<Cell<Option<ErrorKind>>> = Rc::default();
-        let note = refused.clone();
-        let change: Change = Box::new(move |image| make(image).map_err(|kind| note.set(Some(kind))).ok());
-        match self.ask(|ticket| Input::Propose { ticket, change }).await {
+        let refusal: Rc<Cell<Option<ErrorKind>>> = Rc::default();
+        let refusal_slot = refusal.clone();
+        let change: Change = Box::new(move |image| make(image).map_err(|kind| refusal_slot.set(Some(kind))).ok());
+        match self.request(|request_id| Input::Propose { request_id, change }).await {
             Outcome::Committed(image) => Ok(image),
-            Outcome::Confirmed(_) => Err(refused.take().unwrap_or(ErrorKind::OutcomeUnknown)),
+            Outcome::Confirmed(_) => Err(refusal.take().unwrap_or(ErrorKind::OutcomeUnknown)),
             Outcome::Unknown => Err(ErrorKind::OutcomeUnknown),
             Outcome::Unavailable => Err(ErrorKind::Unconfirmed),
             Outcome::DiskFull => Err(ErrorKind::DiskFull),
         }
     }
 
-    /// The newest committed image, once a quorum has confirmed after this call that this node still leads.
+    /// Returns the newest committed image, once a quorum has confirmed after this call that this node still leads;
+    /// `Unconfirmed` if that does not happen within the call timeout.
     pub async fn confirm(&self) -> Result<Rc<Image>, ErrorKind> {
-        let outcome = self.ask(|ticket| Input::Read { ticket });
+        let outcome = self.request(|request_id| Input::Read { request_id });
         match self.env.timeout(self.bounds.call_timeout(), outcome).await {
             Ok(Outcome::Confirmed(image) | Outcome::Committed(image)) => Ok(image),
             _ => Err(ErrorKind::Unconfirmed),
         }
     }
 
-    /// Hands leadership over, and the place among the members where another control node can take it, before the
-    /// process ends.
+    /// Transfers leadership and, if another control node can take it, the membership, before the process ends. Waits for at
+    /// most two call timeouts.
     pub async fn leave(&self) {
         self.queue(Input::Leave, None);
-        let gone = self.bell.wait_until(|| self.core.borrow().may_end().then_some(()));
-        let _ = self.env.timeout(self.bounds.call_timeout() * 2, gone).await;
+        let can_end = self.bell.wait_until(|| self.core.borrow().can_shut_down().then_some(()));
+        let _ = self.env.timeout(self.bounds.call_timeout() * 2, can_end).await;
     }
 
-    /// Whether this node leads for sure: its term is committed and a quorum was heard within the lease.
+    /// Whether this node is the leader with a valid lease: an image of its term is committed, and a quorum acknowledged
+    /// a heartbeat that was sent within the leader lease.
     pub fn leads(&self) -> bool {
-        self.core.borrow().leads(self.env.now())
+        self.core.borrow().leads_with_lease(self.env.now())
     }
 
-    /// The term, and when this node began to lead it.
+    /// The term of this node, and the time since which it leads (if it leads).
     pub fn term(&self) -> (u64, Duration) {
         self.core.borrow().term()
     }
 
-    /// Whether a control node that led before is alive and follows this leader.
+    /// Whether a former leader that this node followed is connected and acknowledges this leader's heartbeats.
     pub fn earlier_leader_alive(&self) -> bool {
-        self.core.borrow().earlier_leader_alive()
+        self.core.borrow().former_leader_follows()
     }
 
-    /// The newest image known to lie on a quorum of disks; only while leading.
+    /// The newest image known to be on a quorum of disks; `None` unless this node leads.
     pub fn image(&self) -> Option<Rc<Image>> {
         self.core.borrow().committed_image()
     }
 
-    /// Who leads, as far as this node knows.
+    /// Name of the leader known to this node; empty if none is known.
     pub fn leader(&self) -> String {
         self.core.borrow().leader().into()
     }
 
-    /// What the leader of the term before left, where it handed over to this node and nobody led between.
+    /// The outstanding leases that the leader of the previous term reported to this node with a leadership transfer;
+    /// `None` if there was no transfer or another term came between.
     pub fn inherited_leases(&self) -> Option<InheritedLeases> {
         self.core.borrow().inherited_leases().cloned()
     }
 
-    /// Sets what lists the leases on groups' primaries, for a successor.
+    /// Sets the function that lists the outstanding leases on groups' primaries; they are sent to the successor.
     pub fn report_leases(&self, report: impl Fn() -> Vec<OutstandingLease> + 'static) {
         *self.lease_reporter.borrow_mut() = Some(Box::new(report));
     }
 
-    /// Whether the disk holds no image that counts.
+    /// Whether the disk holds no valid image; a rescued image is not valid before the system has formed from it.
     pub fn empty(&self) -> bool {
-        self.core.borrow().durable().empty()
+        self.core.borrow().durable().has_no_image()
     }
 
-    /// Says what the other side of a link should know of this control node.
+    /// Fills in the fields of a `Hello` that describe this control node's disk.
     pub fn hello(&self, hello: &mut Hello) {
         let core = self.core.borrow();
         let state = core.durable();
         hello.incarnation = state.incarnation;
-        hello.empty = state.empty();
+        hello.empty = state.has_no_image();
         hello.rescued = state.rescued;
         hello.may_form = state.may_form();
     }
 
-    /// Whether another process counts by the same bounds; leases and holds rest on that.
-    pub fn agrees(&self, name: &str, rule: u64) -> bool {
-        let differs = rule != 0 && rule != self.bounds.digest() && !self.guards.any_bounds;
-        if differs && self.other_bounds.borrow_mut().insert(name.into()) {
-            self.log(format!("{name} counts by other bounds; it is not dealt with"));
+    /// Whether another process uses the same bounds, which leases and hold times depend on; a digest of 0 (not sent) is
+    /// accepted. A difference is logged once per process.
+    pub fn agrees(&self, name: &str, bounds_digest: u64) -> bool {
+        let is_different = bounds_digest != 0 && bounds_digest != self.bounds.digest() && !self.guards.any_bounds;
+        if is_different && self.logged_bounds_mismatches.borrow_mut().insert(name.into()) {
+            self.log(format!("{name} uses different bounds; ignoring its messages"));
         }
-        if !differs {
-            self.other_bounds.borrow_mut().remove(name);
+        if !is_different {
+            self.logged_bounds_mismatches.borrow_mut().remove(name);
         }
-        !differs
+        !is_different
     }
 
     fn log(&self, text: impl AsRef<str>) {
--- a/hub/src/consensus/types.rs
+++ b/hub/src/consensus/types.rs
@@ -1,72 +1,72 @@
-//! What goes into the consensus core and what comes out of it.
+//! Inputs, outputs and parameters of the consensus core.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use base::Bounds;
 use wire::{Body, Heartbeat, HeartbeatAck, Image, OutstandingLease, VoteRequest, VoteResponse};
 
-/// Who a control node is to the others.
+/// Name, location and seeds of a control node.
 #[derive(Clone, Debug)]
 pub struct Identity {
     pub name: String,
     pub zone: String,
-    /// Where other control nodes dial it.
+    /// The address where other control nodes connect to it.
     pub address: SocketAddr,
-    /// The control nodes named in the settings; they form the first image.
+    /// Addresses of the control nodes named in the settings; they form the first image.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// The spans that elections and leases rest on.
+/// The durations that elections and leases depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How often the leader is heard.
+    /// Interval between the leader's heartbeats.
     pub heartbeat: Duration,
-    /// For how long a node that acknowledged a heartbeat votes for nobody else.
+    /// How long a node grants no vote after it acknowledged a heartbeat.
     pub hold: Duration,
-    /// For how long a leader may act on an acknowledged heartbeat, from when it was sent; shorter than `hold`.
+    /// How long a leader may act after sending a heartbeat that a quorum acknowledged; shorter than `hold`.
     pub lease: Duration,
-    /// How long an image may be under way to another control node before it is sent again.
-    pub image_patience: Duration,
-    /// How long a leader goes on asking for a quorum before it steps down.
-    pub quorum_patience: Duration,
-    /// How long a member may be unheard before another control node takes its place.
+    /// An image that was not acknowledged is sent again after this time.
+    pub image_resend_after: Duration,
+    /// A leader steps down if no quorum has acknowledged a heartbeat for this time.
+    pub quorum_timeout: Duration,
+    /// A member that has acknowledged no heartbeat for this time is replaced by another control node.
     pub replace_after: Duration,
 }
 
 impl Timing {
-    /// The spans that follow from the bounds in the settings.
+    /// Derives the durations from the bounds in the settings.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             heartbeat: bounds.control_heartbeat(),
             hold: bounds.leader_hold(),
             lease: bounds.leader_lease(),
-            image_patience: bounds.leader_hold() * 2,
-            quorum_patience: bounds.leader_hold() * 3 / 2,
+            image_resend_after: bounds.leader_hold() * 2,
+            quorum_timeout: bounds.leader_hold() * 3 / 2,
             replace_after: bounds.server_gone_after(),
         }
     }
 }
 
-/// Guards that tests switch off to see that they are needed; the programs leave all in place.
+/// Safety checks that tests disable to verify that they are needed; `true` disables one. The programs disable none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Guards {
-    /// Count a member whatever became of its disk.
+    /// Count a member in quorums even if its disk was replaced.
     pub any_incarnation: bool,
-    /// Lead on without hearing a quorum.
+    /// Keep leading without acknowledgements of a quorum.
     pub no_lease: bool,
-    /// Deal with processes that count by other bounds.
+    /// Communicate with processes that use different bounds.
     pub any_bounds: bool,
-    /// Tell verdicts before the state that they rest on is committed and leadership is confirmed.
+    /// Return results before the image that they depend on is committed and leadership is confirmed.
     pub early_verdict: bool,
-    /// Change the membership in one step, without a majority of the members before.
+    /// Change the membership in one step, without a majority of the outgoing members.
     pub no_joint: bool,
-    /// Let a node that has no older data form the first image at any start.
+    /// Let a node without an image form the first image at any start.
     pub form_again: bool,
-    /// Vote for a candidate whose image is older.
+    /// Vote for a candidate whose image is older than this node's.
     pub vote_for_older: bool,
 }
 
-/// The moment of a step, and a random number for it.
+/// The time of a step, and a random number for it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Monotonic time.
@@ -74,20 +74,20 @@
     pub random: u64,
 }
 
-/// What another control node says of itself when a link to it opens.
+/// What another control node reported about itself when a link to it opened.
 #[derive(Clone, Debug, Default)]
 pub struct PeerHello {
     pub name: String,
     pub zone: String,
     pub address: String,
     pub incarnation: u64,
-    /// Its disk holds no image that counts.
-    pub empty: bool,
-    /// It may form anew from an image that an operator took.
+    /// Its disk holds no valid image.
+    pub has_no_image: bool,
+    /// It may form a new system from an image that an operator rescued.
     pub rescued: bool,
-    /// It takes changes of the image in place of whole ones.
-    pub takes_deltas: bool,
-    /// Its disk was first used at the first start of the whole system.
+    /// It accepts image deltas in place of whole images.
+    pub accepts_deltas: bool,
+    /// It may form the first image: its disk was first used at the first start of the whole system.
     pub may_form: bool,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl Message {
-    /// Reads the body of a frame; `None` for one that is not part of the consensus.
+    /// Extracts a message from the body of a frame; `None` if it is not part of the consensus.
     pub fn from_body(body: Body) -> Option<Self> {
         match body {
             Body::VoteRequest(m) => Some(Self::VoteRequest(m)),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The body of a frame that carries it.
+    /// Converts the message to the body of a frame.
     pub fn into_body(self) -> Body {
         match self {
             Self::VoteRequest(m) => Body::VoteRequest(m),
@@ -123,66 +123,67 @@
     }
 }
 
-/// Names a caller that waits for an outcome.
-pub type Ticket = u64;
+/// Identifies a request that waits for its outcome.
+pub type RequestId = u64;
 
-/// Makes the next image of the newest one; `None` when nothing is to change.
+/// Computes the next image from the newest one; `None` if nothing has to change.
 pub type Change = Box<dyn FnOnce(&Image) -> Option<Image>>;
 
-/// One thing that happened to a control node.
+/// An event for the core.
 pub enum Input {
-    /// A link to another control node opened.
+    /// The outgoing link to another control node opened.
     Connected(PeerHello),
-    /// The link to this control node ended.
+    /// The outgoing link to the control node with this name closed.
     Disconnected(String),
-    /// A message came from this control node.
+    /// A message arrived from the control node `from`.
     Message { from: String, message: Message },
-    /// A caller proposes a change.
-    Propose { ticket: Ticket, change: Change },
-    /// A caller asks for the newest committed image, confirmed by a quorum after now.
-    Read { ticket: Ticket },
-    /// Time went on. It comes at each heartbeat while leading, more often otherwise.
+    /// Proposes a change of the image.
+    Propose { request_id: RequestId, change: Change },
+    /// Reads the newest committed image, confirmed by a quorum after this input.
+    Read { request_id: RequestId },
+    /// Time has passed. Arrives once per heartbeat interval while leading, more often otherwise.
     Tick,
     /// The process is about to end.
     Leave,
 }
 
-/// What became of a proposal or a read.
+/// The outcome of a proposal or a read.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The change lies on a quorum of disks.
+    /// The change is on a quorum of disks.
     Committed(Rc<Image>),
-    /// Nothing was changed; what the caller saw lies on a quorum of disks, and this node led after the call.
+    /// Nothing was changed; the image that the request was based on is on a quorum of disks, and this node still led after
+    /// the call.
     Confirmed(Rc<Image>),
-    /// The change may or may not be committed later.
+    /// The change may still be committed or may be lost.
     Unknown,
-    /// This node does not lead for sure; nothing was changed.
+    /// This node is not the leader with a valid lease; nothing was changed.
     Unavailable,
-    /// The disk has no room; nothing was changed.
+    /// The disk is full; nothing was changed.
     DiskFull,
 }
 
-/// What a step asks for, once everything that it asked to sync is synced.
+/// An action for the caller of the core, to be executed once all states of the step are synced.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Sends a message over this node's own link to another.
+    /// Send a message over the outgoing link to another control node.
     Send { to: String, message: Message },
-    /// Answers the message that the step took.
+    /// Reply to the message that was the input of this step.
     Reply(Message),
-    /// Tells a waiting caller.
-    Resolve { ticket: Ticket, outcome: Outcome },
-    /// Leadership, commitment or contact moved: whoever watches them looks again.
+    /// Return the outcome of a request.
+    Resolve { request_id: RequestId, outcome: Outcome },
+    /// Leadership, the committed image or the contact to a quorum may have changed: notify those that watch them.
     Changed,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// The leases on groups' primaries that a leader left to its successor.
+/// The outstanding leases on groups' primaries that a leader reported to its successor.
 #[derive(Clone, Debug)]
 pub struct InheritedLeases {
-    /// The term of the leader that left them.
+    /// The term of the leader that reported them.
     pub term: u64,
-    /// When they were told.
+    /// When the report arrived.
     pub at: Duration,
     pub leases: Vec<OutstandingLease>,
 }
--- a/hub/src/store/mod.rs
+++ b/hub/src/store/mod.rs
@@ -1,4 +1,8 @@
-//! What a control node keeps on its disk: two slots written in turn, a short log between.
+//! The data folder of a control node: two slot files written alternately, and a short log of the states since.
+//!
+//! A record holds a whole state. When the log is full, the next state goes into the slot that is not the newest one, and
+//! the log starts again with the same state. Slot writes are numbered by generation; a record of the log belongs to the
+//! slot of the same generation.
 
 mod record;
 
@@ -7,160 +11,174 @@
 use base::runtime::{Component, Disk, Env};
 use wire::Image;
 
-pub use record::{FORMAT, HEAD, decode, encode};
+pub use record::{FORMAT_VERSION, HEADER_BYTES, decode, encode};
 
-const SLOTS: [&str; 2] = ["slot-a", "slot-b"];
-const LOG: &str = "log";
+const SLOT_FILES: [&str; 2] = ["slot-a", "slot-b"];
+const LOG_FILE: &str = "log";
 
-/// How many records the log holds at least, however large they are.
-const LARGE_RECORDS: u64 = 4;
+/// The number of records that the log has room for at least, however large they are.
+const MIN_LOG_RECORDS: u64 = 4;
 
-/// Where an image stands among all that were ever written: by the leader's term, then by its count within it.
+/// The version of an image, ordered by the term of the leader that saved it, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     pub term: u64,
+    /// Counts the images saved, over all terms.
     pub index: u64,
 }
 
-/// All that a control node's votes and acknowledgements rest on.
+/// The state that a control node must sync before it votes or acknowledges.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DurableState {
-    /// The newest term this node has voted in or followed a leader of.
+    /// The newest term in which this node voted or followed a leader.
     pub term: u64,
-    /// Whom this node voted for in the term; empty for nobody.
+    /// Name of the candidate that this node voted for in the term; empty if it has not voted.
     pub voted_for: String,
-    /// The term in which the image was written.
+    /// The term in which the image was saved by a leader.
     pub version_term: u64,
-    /// Counts the images written, over all terms.
+    /// The index of the image; counts the images saved, over all terms.
     pub version_index: u64,
-    /// Shared with whoever reads or sends it; a change makes a new one.
+    /// The replicated state; it is shared, and a change creates a new one.
     pub image: Option<Rc<Image>>,
-    /// A random number of this disk, drawn when it was empty.
+    /// A random number that identifies this disk, drawn when the disk held no state.
     pub incarnation: u64,
-    /// An operator took this image knowingly, as the other disks are lost: the system may form anew from it.
+    /// An operator rescued this image because the other disks are lost: a new system may form from it.
     pub rescued: bool,
-    /// The control nodes that were named at the first start of the whole system, if this disk was there: only they, this
-    /// node among them, form the first image.
+    /// Addresses of the control nodes that were named in the settings at the first start of the whole system; empty if
+    /// this disk was not used then. Only these nodes form the first image.
     pub formation_seeds: Vec<String>,
 }
 
 impl DurableState {
-    /// Where the image stands.
+    /// Version of the image.
     pub fn version(&self) -> Version {
         Version { term: self.version_term, index: self.version_index }
     }
 
-    /// Whether this disk was there, and named, at the first start of the whole system.
+    /// Whether this node may form the first image: its disk was used at the first start of the whole system, and its
+    /// address was among the seeds.
     pub fn may_form(&self) -> bool {
         !self.formation_seeds.is_empty()
     }
 
-    /// Whether there is no image that counts.
-    pub fn empty(&self) -> bool {
+    /// Whether there is no valid image; a rescued image is not valid before the system has formed from it.
+    pub fn has_no_image(&self) -> bool {
         self.image.is_none() || self.rescued
     }
 }
 
-/// How a disk was found.
+/// What was found on the disk when the store was opened.
 #[derive(Debug, PartialEq)]
 pub enum Found {
-    /// Nothing was ever written.
+    /// Nothing was written yet.
     Fresh,
-    /// There are files, but no slot that can be read.
+    /// There is data, but no state can be relied on: no slot is readable, or the log is corrupt before its end.
     Torn,
+    /// A state was read.
     Whole,
 }
 
-struct Log {
-    turn: u64,
+/// The records at the start of the log that share one generation. The log is overwritten from its start, so this is the
+/// newest generation in it.
+struct ReplayedLog {
+    generation: u64,
+    /// The state of the last record.
     state: DurableState,
     size: u64,
-    steps: u64,
-    broken: bool,
+    records: u64,
+    /// A valid record follows an invalid one.
+    is_corrupt: bool,
 }
 
-/// Why a store can't be opened at all.
+/// Why a store can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("no data folder is set")]
     None,
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("{file} has format {found}, and this program knows {FORMAT} and older")]
+    #[error("{file} has format {found}, and this program knows {FORMAT_VERSION} and older")]
     Newer { file: &'static str, found: u32 },
 }
 
-/// The owner of a hub's data folder.
+/// Reads and writes a control node's data folder.
 pub struct Store {
     env: Env,
     disk: Rc<dyn Disk>,
-    turn: u64,
-    log_at: u64,
-    most: u64,
-    stale: bool,
+    /// The generation of the newest slot; 0 before the first.
+    generation: u64,
+    /// Where the next log record is written, in bytes from the start of the file.
+    log_end: u64,
+    max_log_bytes: u64,
+    /// The files hold nothing that can be relied on: the next save empties the log and writes a slot.
+    must_reset: bool,
 }
 
 impl Store {
-    /// Opens the folder and reads what it remembers.
-    pub async fn open(env: &Env, most: u64) -> Result<(Self, DurableState, Found), Fault> {
+    /// Opens the data folder and reads the newest state. The log is limited to `max_log_bytes`, or to a few records if those
+    /// are larger.
+    pub async fn open(env: &Env, max_log_bytes: u64) -> Result<(Self, DurableState, Found), Fault> {
         let disk = env.disk().ok_or(Fault::None)?;
-        let mut best: Option<(u64, DurableState)> = None;
-        let mut any = false;
-        for file in SLOTS {
+        let mut newest: Option<(u64, DurableState)> = None;
+        let mut has_data = false;
+        for file in SLOT_FILES {
             let Some(data) = disk.read(file).await? else { continue };
-            any |= !data.is_empty();
+            has_data |= !data.is_empty();
             match decode(&data) {
-                Ok(Some((turn, state, _))) if best.as_ref().is_none_or(|b| turn > b.0) => best = Some((turn, state)),
+                Ok(Some((generation, state, _))) if newest.as_ref().is_none_or(|newest| generation > newest.0) => {
+                    newest = Some((generation, state))
+                }
                 Ok(_) => {}
                 Err(found) => return Err(Fault::Newer { file, found }),
             }
         }
-        let log = disk.read(LOG).await?;
-        any |= log.as_ref().is_some_and(|l| !l.is_empty());
-        let mut me = Self { env: env.clone(), disk, turn: 0, log_at: 0, most, stale: false };
-        let Some((turn, state)) = best else {
-            me.stale = true;
-            return Ok((me, DurableState::default(), if any { Found::Torn } else { Found::Fresh }));
+        let log = disk.read(LOG_FILE).await?;
+        has_data |= log.as_ref().is_some_and(|l| !l.is_empty());
+        let mut store = Self { env: env.clone(), disk, generation: 0, log_end: 0, max_log_bytes, must_reset: false };
+        let Some((generation, state)) = newest else {
+            store.must_reset = true;
+            return Ok((store, DurableState::default(), if has_data { Found::Torn } else { Found::Fresh }));
         };
-        let log = me.replay(log.as_deref().unwrap_or_default())?;
-        let (state, steps) = match log {
-            // The newest slot may have rotted; the log that goes with it opens with the same content.
-            Some(l) if l.turn >= turn => {
-                if l.broken {
-                    me.stale = true;
-                    me.turn = l.turn;
-                    return Ok((me, DurableState::default(), Found::Torn));
+        let log = store.replay_log(log.as_deref().unwrap_or_default())?;
+        let (state, records) = match log {
+            // The newest slot may be corrupt; its log starts with the same state, so nothing is lost.
+            Some(l) if l.generation >= generation => {
+                if l.is_corrupt {
+                    store.must_reset = true;
+                    store.generation = l.generation;
+                    return Ok((store, DurableState::default(), Found::Torn));
                 }
-                me.turn = l.turn;
-                me.log_at = l.size;
-                (l.state, l.steps)
+                store.generation = l.generation;
+                store.log_end = l.size;
+                (l.state, l.records)
             }
             _ => {
-                me.turn = turn;
+                store.generation = generation;
                 (state, 0)
             }
         };
-        env.log(Component::Disk, format!("slot turn {} and {steps} log records read", me.turn));
-        Ok((me, state, Found::Whole))
+        env.log(Component::Disk, format!("read slot generation {} and {records} log records", store.generation));
+        Ok((store, state, Found::Whole))
     }
 
-    fn replay(&self, log: &[u8]) -> Result<Option<Log>, Fault> {
-        let newer = |found| Fault::Newer { file: LOG, found };
-        let mut out: Option<Log> = None;
+    /// Reads the log's records of its newest generation; `None` if there is no valid record.
+    fn replay_log(&self, log: &[u8]) -> Result<Option<ReplayedLog>, Fault> {
+        let newer = |found| Fault::Newer { file: LOG_FILE, found };
+        let mut out: Option<ReplayedLog> = None;
         let mut at = 0;
-        while let Some((turn, state, size)) = decode(&log[at..]).map_err(newer)? {
-            if out.as_ref().is_some_and(|o| o.turn != turn) {
+        while let Some((generation, state, size)) = decode(&log[at..]).map_err(newer)? {
+            if out.as_ref().is_some_and(|o| o.generation != generation) {
                 return Ok(out);
             }
             at += size;
-            let steps = out.map_or(1, |o| o.steps + 1);
-            out = Some(Log { turn, state, size: at as u64, steps, broken: false });
+            let records = out.map_or(1, |o| o.records + 1);
+            out = Some(ReplayedLog { generation, state, size: at as u64, records, is_corrupt: false });
         }
-        // Only the last record can have been cut off by a crash; a good one behind a bad one means rot.
+        // A crash can only cut off the last record; a valid record after an invalid one means corruption.
         if let Some(o) = &mut out {
-            for i in at + 1..log.len().saturating_sub(HEAD) {
-                if matches!(decode(&log[i..]), Ok(Some((t, _, _))) if t == o.turn) {
-                    o.broken = true;
+            for i in at + 1..log.len().saturating_sub(HEADER_BYTES) {
+                if matches!(decode(&log[i..]), Ok(Some((t, _, _))) if t == o.generation) {
+                    o.is_corrupt = true;
                     break;
                 }
             }
@@ -168,42 +186,42 @@
         Ok(out)
     }
 
-    /// Syncs what is to be remembered; only then may it be acted on.
+    /// Writes and syncs a state; votes and acknowledgements that depend on it may be sent only afterwards.
     pub async fn save(&mut self, state: &DurableState) -> io::Result<()> {
-        let record = encode(self.turn, state);
-        // A log of large states holds a few of them at least, or each would be written twice.
-        let most = self.most.max(record.len() as u64 * LARGE_RECORDS);
-        let full = self.log_at + record.len() as u64 > most || self.stale || self.turn == 0;
+        let record = encode(self.generation, state);
+        // The log has room for a few records even if they are large; otherwise each state would be written twice.
+        let max_log_bytes = self.max_log_bytes.max(record.len() as u64 * MIN_LOG_RECORDS);
+        let full = self.log_end + record.len() as u64 > max_log_bytes || self.must_reset || self.generation == 0;
         if full {
-            let turn = self.turn + 1;
-            if self.stale {
-                // Turns begin anew on a disk that can't be read; no record of an older life may be taken for a newer.
-                self.disk.write(LOG, Vec::new()).await?;
+            let generation = self.generation + 1;
+            if self.must_reset {
+                // Generations restart on a disk that can't be read; an old log record must not be mistaken for a newer one.
+                self.disk.write(LOG_FILE, Vec::new()).await?;
             }
-            self.disk.write(SLOTS[turn as usize % 2], encode(turn, state)).await?;
-            self.turn = turn;
-            self.stale = false;
-            // The log opens with the slot's content, so that a slot lost later is noticed and made good.
-            self.log_at = 0;
+            self.disk.write(SLOT_FILES[generation as usize % 2], encode(generation, state)).await?;
+            self.generation = generation;
+            self.must_reset = false;
+            // The log starts with the slot's state, so that a slot that becomes corrupt is detected and recovered.
+            self.log_end = 0;
         }
-        let record = if full { encode(self.turn, state) } else { record };
+        let record = if full { encode(self.generation, state) } else { record };
         let size = record.len() as u64;
-        match self.disk.append(LOG, self.log_at, record).await {
-            Ok(()) => self.log_at += size,
-            // The slot has it already; only its second copy found no room.
+        match self.disk.append(LOG_FILE, self.log_end, record).await {
+            Ok(()) => self.log_end += size,
+            // The slot already holds the state; only the copy in the log did not fit.
             Err(e) if full && e.kind() == io::ErrorKind::StorageFull => {}
             Err(e) => return Err(e),
         }
         Ok(())
     }
 
-    /// Syncs; false when the disk has no room, and then what it held before still stands. Any other failed sync ends the
-    /// process, since it leaves nothing to stand on.
+    /// Writes and syncs a state. Returns `false` if the disk is full; then the previous state is still in force. Any other
+    /// error aborts the process, because it is unknown what the disk holds.
     pub async fn keep(&mut self, state: &DurableState) -> bool {
         match self.save(state).await {
             Ok(()) => true,
             Err(e) if e.kind() == io::ErrorKind::StorageFull => {
-                self.env.log(Component::Disk, "the disk is full; nothing new is taken");
+                self.env.log(Component::Disk, "the disk is full; the state is not saved, so nothing new is taken");
                 false
             }
             Err(e) => {
--- a/hub/src/store/record.rs
+++ b/hub/src/store/record.rs
@@ -1,4 +1,4 @@
-//! The form of a state on the disk, with a checksum.
+//! The encoding of a state on disk, with a checksum.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 
 use super::DurableState;
 
-/// A state as it is written. The image is a message of its own, written from where it is shared.
+/// A state as it is stored. The image is encoded separately, because it is shared and would have to be copied otherwise.
 #[derive(Clone, PartialEq, Message)]
 struct StoredState {
     #[prost(uint64, tag = "1")]
@@ -29,7 +29,7 @@
 }
 
 impl StoredState {
-    fn of(state: &DurableState) -> Self {
+    fn from_state(state: &DurableState) -> Self {
         Self {
             term: state.term,
             voted_for: state.voted_for.clone(),
@@ -42,7 +42,7 @@
         }
     }
 
-    fn read(self) -> Result<DurableState, prost::DecodeError> {
+    fn into_state(self) -> Result<DurableState, prost::DecodeError> {
         let image = self.image.map(|data| Image::decode(&data[..])).transpose()?;
         Ok(DurableState {
             term: self.term,
@@ -57,52 +57,55 @@
     }
 }
 
-/// The disk format this program writes.
-pub const FORMAT: u32 = 1;
-const MARK: [u8; 4] = *b"pspk";
-/// The bytes before a record's data.
-pub const HEAD: usize = 28;
+/// The version of the disk format that this program writes.
+pub const FORMAT_VERSION: u32 = 1;
+/// The first bytes of every record.
+const MAGIC: [u8; 4] = *b"pspk";
+/// The size of a record's header, which precedes its data.
+pub const HEADER_BYTES: usize = 28;
 
-/// Writes one record: mark, format, turn, size, checksum, data.
-pub fn encode(turn: u64, state: &DurableState) -> Vec<u8> {
-    let data = StoredState::of(state).encode_to_vec();
-    let mut out = Vec::with_capacity(HEAD + data.len());
-    out.extend_from_slice(&MARK);
-    out.extend_from_slice(&FORMAT.to_le_bytes());
-    out.extend_from_slice(&turn.to_le_bytes());
+/// Encodes one record: magic (4 bytes), format version (4), generation (8), data size (8), CRC-32 (4), data. Numbers are
+/// little-endian; the checksum covers the rest of the header and the data.
+pub fn encode(generation: u64, state: &DurableState) -> Vec<u8> {
+    let data = StoredState::from_state(state).encode_to_vec();
+    let mut out = Vec::with_capacity(HEADER_BYTES + data.len());
+    out.extend_from_slice(&MAGIC);
+    out.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
+    out.extend_from_slice(&generation.to_le_bytes());
     out.extend_from_slice(&(data.len() as u64).to_le_bytes());
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&out);
-    sum.update(&data);
-    out.extend_from_slice(&sum.finalize().to_le_bytes());
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&out);
+    checksum.update(&data);
+    out.extend_from_slice(&checksum.finalize().to_le_bytes());
     out.extend_from_slice(&data);
     out
 }
 
-fn word(buf: &[u8], at: usize) -> u64 {
+fn read_u64(buf: &[u8], at: usize) -> u64 {
     u64::from_le_bytes(std::array::from_fn(|i| buf[at + i]))
 }
 
-/// Reads the record at the front: its turn, content and size. `None` when it is not whole; the format when it is newer.
+/// Decodes the record at the start of `buf`: its generation, state and size in bytes. `None` if there is no valid record;
+/// the error is the record's format version, if it is newer than this program's.
 pub fn decode(buf: &[u8]) -> Result<Option<(u64, DurableState, usize)>, u32> {
-    if buf.len() < HEAD || buf[..4] != MARK {
+    if buf.len() < HEADER_BYTES || buf[..4] != MAGIC {
         return Ok(None);
     }
     let format = u32::from_le_bytes(std::array::from_fn(|i| buf[4 + i]));
-    let Some(size) = usize::try_from(word(buf, 16)).ok().filter(|s| *s <= buf.len() - HEAD) else {
+    let Some(size) = usize::try_from(read_u64(buf, 16)).ok().filter(|s| *s <= buf.len() - HEADER_BYTES) else {
         return Ok(None);
     };
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&buf[..24]);
-    sum.update(&buf[HEAD..HEAD + size]);
-    if sum.finalize().to_le_bytes() != buf[24..28] {
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&buf[..24]);
+    checksum.update(&buf[HEADER_BYTES..HEADER_BYTES + size]);
+    if checksum.finalize().to_le_bytes() != buf[24..28] {
         return Ok(None);
     }
-    if format > FORMAT {
+    if format > FORMAT_VERSION {
         return Err(format);
     }
-    match StoredState::decode(&buf[HEAD..HEAD + size]).and_then(StoredState::read) {
-        Ok(state) => Ok(Some((word(buf, 8), state, HEAD + size))),
+    match StoredState::decode(&buf[HEADER_BYTES..HEADER_BYTES + size]).and_then(StoredState::into_state) {
+        Ok(state) => Ok(Some((read_u64(buf, 8), state, HEADER_BYTES + size))),
         Err(_) => Ok(None),
     }
 }
--- a/hub/tests/consensus.rs
+++ b/hub/tests/consensus.rs
@@ -1,4 +1,4 @@
-//! The consensus core under every order of events that a bounded search reaches, and under long random walks beyond it.
+//! The consensus core under all orders of events that a bounded search reaches, and in long random walks that go further.
 
 mod model;
 
@@ -9,85 +9,85 @@
     walk::{Plan, walk},
 };
 
-const THREE: Plan = Plan { machines: 3, zones: 3, target_members: 3, steps: 6000, guards: ALL_GUARDS };
+const THREE_NODES: Plan = Plan { machines: 3, zones: 3, target_members: 3, steps: 6000, guards: ALL_GUARDS };
 
-/// With a spare control node that stands by.
-const SPARE: Plan = Plan { machines: 4, ..THREE };
+/// Three members and one learner.
+const FOUR_NODES_WITH_LEARNER: Plan = Plan { machines: 4, ..THREE_NODES };
 
-/// As on the larger sites: two machines may be lost, eight control nodes over four zones.
-const EIGHT: Plan = Plan { machines: 8, zones: 4, target_members: 5, ..THREE };
+/// As in larger deployments: eight control nodes in four zones, with two tolerated machine losses.
+const EIGHT_NODES: Plan = Plan { machines: 8, zones: 4, target_members: 5, ..THREE_NODES };
 
-fn clean(plan: Plan, seeds: std::ops::RangeInclusive<u64>) {
+fn assert_walks_are_clean(plan: Plan, seeds: std::ops::RangeInclusive<u64>) {
     let mut taken = 0;
     let count = seeds.clone().count() as u64;
     for seed in seeds {
         taken += walk(seed, plan).unwrap_or_else(|text| panic!("{text}"));
     }
     println!("{count} walks of {} steps: {taken} orders acknowledged", plan.steps);
-    assert!(taken > count * 5, "the walks must get somewhere: {taken} orders in {count} walks");
+    assert!(taken > count * 5, "the walks must get enough orders acknowledged: {taken} in {count} walks");
 }
 
-/// Some walk must find what the guard prevents.
-fn found(plan: Plan, guards: Guards, what: &str) {
-    let hit = (1..=300).find_map(|seed| walk(seed, Plan { guards, ..plan }).err().filter(|e| e.contains(what)));
-    let text = hit.unwrap_or_else(|| panic!("without its guard nothing of {what:?} was found"));
+/// Asserts that with the guard disabled, a walk finds a violation that contains `what`.
+fn assert_a_walk_finds(plan: Plan, guards: Guards, what: &str) {
+    let violation = (1..=300).find_map(|seed| walk(seed, Plan { guards, ..plan }).err().filter(|e| e.contains(what)));
+    let text = violation.unwrap_or_else(|| panic!("nothing like {what:?} was found with the guard disabled"));
     println!("{}", text.lines().next().unwrap_or_default());
 }
 
 #[test]
 fn walks_over_three_control_nodes_are_clean() {
-    clean(THREE, 1..=150);
+    assert_walks_are_clean(THREE_NODES, 1..=150);
 }
 
 #[test]
 fn walks_with_a_spare_control_node_are_clean() {
-    clean(SPARE, 1..=150);
+    assert_walks_are_clean(FOUR_NODES_WITH_LEARNER, 1..=150);
 }
 
 #[test]
 fn walks_over_eight_control_nodes_are_clean() {
-    clean(EIGHT, 1..=60);
+    assert_walks_are_clean(EIGHT_NODES, 1..=60);
 }
 
 #[test]
-fn a_verdict_that_is_told_before_it_is_committed_is_found() {
-    found(THREE, Guards { early_verdict: true, ..ALL_GUARDS }, "order");
+fn a_result_returned_before_its_commit_is_found() {
+    assert_a_walk_finds(THREE_NODES, Guards { early_verdict: true, ..ALL_GUARDS }, "order");
 }
 
 #[test]
-fn a_lost_disk_that_counts_on_is_found() {
-    found(THREE, Guards { any_incarnation: true, ..ALL_GUARDS }, "was told");
+fn a_replaced_disk_that_still_counts_in_quorums_is_found() {
+    assert_a_walk_finds(THREE_NODES, Guards { any_incarnation: true, ..ALL_GUARDS }, "was reported");
 }
 
 #[test]
 fn a_leader_without_a_lease_is_found() {
-    found(THREE, Guards { no_lease: true, ..ALL_GUARDS }, "lead at once");
+    assert_a_walk_finds(THREE_NODES, Guards { no_lease: true, ..ALL_GUARDS }, "lead at the same time");
 }
 
 #[test]
 fn a_vote_for_an_older_image_is_found() {
-    found(THREE, Guards { vote_for_older: true, ..ALL_GUARDS }, "was told");
+    assert_a_walk_finds(THREE_NODES, Guards { vote_for_older: true, ..ALL_GUARDS }, "was reported");
 }
 
-/// States that one search visits at most; the variable asks for more.
-fn most_states() -> usize {
+/// The maximum number of states that a search visits; an environment variable overrides it.
+fn max_states() -> usize {
     std::env::var("PORTSPOKE_MODEL_STATES").ok().and_then(|s| s.parse().ok()).unwrap_or(40_000)
 }
 
 #[test]
 fn every_order_of_events_after_an_order_is_clean() {
-    for start in [Start::OrderUnderWay, Start::LeaderCutOff, Start::MemberLost, Start::DiskLost] {
-        let found = search(start, Limits { states: most_states(), guards: ALL_GUARDS });
-        println!("{start:?}: {} states, depth {}", found.states, found.depth);
-        assert!(found.violation.is_none(), "{start:?}: {:?}", found.violation);
-        assert!(found.states > 1000 && found.depth >= 4, "{start:?}: {} states", found.states);
+    for start in [Start::UncommittedOrder, Start::LeaderPartitioned, Start::MemberLost, Start::DiskLost] {
+        let result = search(start, Limits { states: max_states(), guards: ALL_GUARDS });
+        println!("{start:?}: {} states, depth {}", result.states, result.depth);
+        assert!(result.violation.is_none(), "{start:?}: {:?}", result.violation);
+        assert!(result.states > 1000 && result.depth >= 4, "{start:?}: {} states", result.states);
     }
 }
 
 #[test]
-fn the_search_finds_verdicts_told_early() {
+fn the_search_finds_results_returned_before_their_commit() {
     let guards = Guards { early_verdict: true, ..ALL_GUARDS };
-    let found = search(Start::OrderUnderWay, Limits { states: most_states(), guards });
-    println!("{} states, depth {}: {:?}", found.states, found.depth, found.violation);
-    assert!(found.violation.is_some());
+    let result = search(Start::UncommittedOrder, Limits { states: max_states(), guards });
+    println!("{} states, depth {}: {:?}", result.states, result.depth, result.violation);
+    assert!(result.violation.is_some());
 }
--- a/hub/tests/model/mod.rs
+++ b/hub/tests/model/mod.rs
@@ -1,15 +1,15 @@
-//! The model checker's parts. Each test program uses some of them.
+//! A model checker for the consensus core. Each test program uses some of its parts.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-pub mod dice;
+pub mod cluster;
 pub mod monitor;
+pub mod rng;
 pub mod search;
 pub mod walk;
-pub mod world;
 
 use hub::consensus::Guards;
 
-/// All guards in place, as in the programs.
+/// All guards enabled, as in the programs.
 pub const ALL_GUARDS: Guards = Guards {
     any_incarnation: false,
     no_lease: false,
--- a/hub/tests/model/monitor.rs
+++ b/hub/tests/model/monitor.rs
@@ -1,95 +1,102 @@
-//! What operators were told, and whether it can be true of one register that took the orders one after another.
+//! Checks that the results reported to operators are linearizable: consistent with a single register that applied the
+//! orders one after another.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hub::consensus::{Outcome, Ticket};
+use hub::consensus::{Outcome, RequestId};
 
-use super::world::history;
+use super::cluster::applied_orders;
 
-/// What an operator asked for.
+/// A request of an operator.
 #[derive(Clone, Debug)]
-pub enum Call {
+pub enum Request {
     Order { id: u32 },
     Read,
 }
 
-/// What an order that changed nothing is to be answered.
+/// The result of an order that changed nothing: it was applied already, or it is based on another state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum OrderResult {
     Taken,
     Conflict,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
-    call: Call,
-    /// The longest history that anybody had been told of when the call was made.
-    floor: Vec<u32>,
+struct OpenRequest {
+    request: Request,
+    /// The longest list of applied orders that had been reported when the request was made.
+    reported_before: Vec<u32>,
 }
 
-/// Collects what was told and what is wrong with it.
+/// Records the reported results and the violations found in them.
 #[derive(Clone, Debug, Default)]
 pub struct Monitor {
-    open: BTreeMap<Ticket, Open>,
-    verdicts: BTreeMap<Ticket, Verdict>,
-    resolved_early: BTreeMap<Ticket, Vec<u32>>,
-    longest: Vec<u32>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    order_results: BTreeMap<RequestId, OrderResult>,
+    /// Orders applied according to outcomes that arrived before the result of their order was recorded.
+    outcomes_before_result: BTreeMap<RequestId, Vec<u32>>,
+    /// The longest list of applied orders reported so far.
+    longest_reported: Vec<u32>,
     acknowledged: BTreeSet<u32>,
     refused: BTreeSet<u32>,
+    /// The leader of each term.
     leaders: BTreeMap<u64, String>,
+    /// Descriptions of the violations found so far.
     pub violations: Vec<String>,
 }
 
 impl Monitor {
-    pub fn called(&mut self, ticket: Ticket, call: Call) {
-        self.open.insert(ticket, Open { call, floor: self.longest.clone() });
+    /// Records a new request.
+    pub fn on_request(&mut self, request_id: RequestId, request: Request) {
+        self.open_requests.insert(request_id, OpenRequest { request, reported_before: self.longest_reported.clone() });
     }
 
-    /// The verdict that the change gave, told once the outcome confirms it.
-    pub fn verdict(&mut self, ticket: Ticket, verdict: Verdict) {
-        self.verdicts.insert(ticket, verdict);
-        // The outcome came within the same step.
-        if let Some(applied) = self.resolved_early.remove(&ticket) {
-            self.confirmed(ticket, applied);
+    /// Records the result that the change computed; it is reported once the outcome confirms it.
+    pub fn on_order_result(&mut self, request_id: RequestId, result: OrderResult) {
+        self.order_results.insert(request_id, result);
+        // The outcome was already resolved within the same step.
+        if let Some(applied) = self.outcomes_before_result.remove(&request_id) {
+            self.confirmed(request_id, applied);
         }
     }
 
-    pub fn resolved(&mut self, ticket: Ticket, outcome: Outcome) {
+    /// Checks the outcome of a request.
+    pub fn on_outcome(&mut self, request_id: RequestId, outcome: Outcome) {
         match outcome {
-            Outcome::Committed(image) => self.committed(ticket, history(&image)),
-            Outcome::Confirmed(image) => self.confirmed(ticket, history(&image)),
+            Outcome::Committed(image) => self.committed(request_id, applied_orders(&image)),
+            Outcome::Confirmed(image) => self.confirmed(request_id, applied_orders(&image)),
             Outcome::Unknown | Outcome::Unavailable | Outcome::DiskFull => {
-                self.open.remove(&ticket);
+                self.open_requests.remove(&request_id);
             }
         }
     }
 
-    fn committed(&mut self, ticket: Ticket, applied: Vec<u32>) {
-        let Some(open) = self.open.remove(&ticket) else { return };
-        if let Call::Order { id } = open.call {
+    fn committed(&mut self, request_id: RequestId, applied: Vec<u32>) {
+        let Some(open_request) = self.open_requests.remove(&request_id) else { return };
+        if let Request::Order { id } = open_request.request {
             self.acknowledge(id, &applied);
         }
-        self.told(&open.floor, applied);
+        self.check_reported(&open_request.reported_before, applied);
     }
 
-    fn confirmed(&mut self, ticket: Ticket, applied: Vec<u32>) {
-        let Some(open) = self.open.get(&ticket).cloned() else { return };
-        match (&open.call, self.verdicts.get(&ticket)) {
-            (Call::Order { .. }, None) => {
-                self.resolved_early.insert(ticket, applied);
+    fn confirmed(&mut self, request_id: RequestId, applied: Vec<u32>) {
+        let Some(open_request) = self.open_requests.get(&request_id).cloned() else { return };
+        match (&open_request.request, self.order_results.get(&request_id)) {
+            (Request::Order { .. }, None) => {
+                self.outcomes_before_result.insert(request_id, applied);
                 return;
             }
-            (Call::Order { id }, Some(Verdict::Taken)) => self.acknowledge(*id, &applied),
-            (Call::Order { id }, Some(Verdict::Conflict)) => {
+            (Request::Order { id }, Some(OrderResult::Taken)) => self.acknowledge(*id, &applied),
+            (Request::Order { id }, Some(OrderResult::Conflict)) => {
                 if self.acknowledged.contains(id) {
                     self.violations.push(format!("order {id} was acknowledged and then refused"));
                 }
                 self.refused.insert(*id);
             }
-            (Call::Read, _) => {}
+            (Request::Read, _) => {}
         }
-        self.open.remove(&ticket);
-        self.told(&open.floor, applied);
+        self.open_requests.remove(&request_id);
+        self.check_reported(&open_request.reported_before, applied);
     }
 
     fn acknowledge(&mut self, id: u32, applied: &[u32]) {
@@ -99,40 +106,44 @@
         self.acknowledged.insert(id);
     }
 
-    fn told(&mut self, floor: &[u32], applied: Vec<u32>) {
-        let chained = applied.starts_with(&self.longest) || self.longest.starts_with(&applied);
-        if !chained {
-            self.violations.push(format!("{applied:?} was told, and {:?} before", self.longest));
+    /// Checks a reported list of applied orders against the lists reported earlier.
+    fn check_reported(&mut self, reported_before: &[u32], applied: Vec<u32>) {
+        let is_prefix = applied.starts_with(&self.longest_reported) || self.longest_reported.starts_with(&applied);
+        if !is_prefix {
+            self.violations.push(format!("{applied:?} was reported, and {:?} before", self.longest_reported));
         }
-        if !applied.starts_with(floor) {
-            self.violations.push(format!("{applied:?} was told after {floor:?}"));
+        if !applied.starts_with(reported_before) {
+            self.violations.push(format!("{applied:?} was reported after {reported_before:?}"));
         }
         if let Some(id) = applied.iter().find(|id| self.refused.contains(id)) {
             self.violations.push(format!("order {id} was refused and is in force"));
         }
-        if applied.len() > self.longest.len() {
-            self.longest = applied;
+        if applied.len() > self.longest_reported.len() {
+            self.longest_reported = applied;
         }
     }
 
-    pub fn leader(&mut self, term: u64, name: &str) {
+    /// Records the leader of a term; a second one in the same term is a violation.
+    pub fn on_leader(&mut self, term: u64, name: &str) {
         let known = self.leaders.entry(term).or_insert_with(|| name.into());
         if known != name {
             self.violations.push(format!("{known} and {name} lead in term {term}"));
         }
     }
 
-    pub fn sure_leaders(&mut self, names: &[String]) {
+    /// Checks that at most one control node leads with a valid lease.
+    pub fn on_leaders_with_lease(&mut self, names: &[String]) {
         if names.len() > 1 {
-            self.violations.push(format!("{names:?} lead at once"));
+            self.violations.push(format!("{names:?} lead at the same time"));
         }
     }
 
-    /// How many orders were acknowledged.
-    pub fn taken(&self) -> u64 {
+    /// The number of orders that were acknowledged.
+    pub fn acknowledged_count(&self) -> u64 {
         self.acknowledged.len() as u64
     }
 
+    /// Whether this order was acknowledged.
     pub fn acknowledged(&self, id: u32) -> bool {
         self.acknowledged.contains(&id)
     }
--- a/hub/tests/model/search.rs
+++ b/hub/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! A breadth-first search over the orders in which events can come, from states in which something is under way.
+//! A breadth-first search over the possible orders of events, from states in which a request or a failure is in progress.
 
 use std::{
     collections::{HashSet, VecDeque, hash_map::DefaultHasher},
@@ -8,43 +8,46 @@
 
 use hub::consensus::{Guards, Input};
 
-use super::world::{DiskFate, World, timing};
+use super::cluster::{Cluster, SyncResult, timing};
 
-/// Where a search begins.
+/// The state in which a search begins.
 #[derive(Clone, Copy, Debug)]
 pub enum Start {
-    /// An order lies on the leader's disk alone, and is sent again.
-    OrderUnderWay,
-    /// The leader hears nobody, and the others don't hear it.
-    LeaderCutOff,
-    /// A member is gone for long, and a spare control node stands by.
+    /// An order is on the leader's disk only, and is sent again.
+    UncommittedOrder,
+    /// The leader's messages do not reach the other members.
+    LeaderPartitioned,
+    /// A member has been unreachable for long enough to be replaced, and a learner is available.
     MemberLost,
-    /// A member comes back with an empty disk.
+    /// A member restarts with an empty disk.
     DiskLost,
 }
 
-/// How far a search goes.
+/// The number of states at which a search ends, and the guards to use.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub states: usize,
     pub guards: Guards,
 }
 
-/// What a search found.
-pub struct Found {
+/// The result of a search.
+pub struct SearchResult {
     pub states: usize,
-    /// How many events deep the search was complete, or went when it ended.
+    /// The number of events that led to the last state visited, or to the violation.
     pub depth: usize,
     pub violation: Option<String>,
 }
 
-/// One thing that may happen next.
+/// An event that may happen next.
 #[derive(Clone, Copy, Debug)]
 enum Event {
+    /// Deliver the message with this index.
     Deliver(usize),
+    /// Lose the message with this index.
     Lose(usize),
+    /// Deliver the message with this index; the receiver loses power before it can sync.
     DeliverAndLosePower(usize),
-    /// A hold goes by, and one machine notices.
+    /// A hold time passes, and one machine processes a tick.
     HoldPasses(usize),
     Tick(usize),
     Kill(usize),
@@ -56,9 +59,9 @@
     Read(usize),
 }
 
-/// How many of the costly events a path may hold.
+/// The number of events of each kind that a path may still contain; they bound the search.
 #[derive(Clone, Copy, Debug, Hash)]
-struct Budget {
+struct EventBudget {
     losses: u8,
     kills: u8,
     holds: u8,
@@ -67,150 +70,154 @@
     reads: u8,
 }
 
-const BUDGET: Budget = Budget { losses: 1, kills: 1, holds: 2, ticks: 2, orders: 2, reads: 1 };
+const INITIAL_BUDGET: EventBudget = EventBudget { losses: 1, kills: 1, holds: 2, ticks: 2, orders: 2, reads: 1 };
 
 #[derive(Clone)]
 struct State {
-    world: World,
-    budget: Budget,
+    cluster: Cluster,
+    budget: EventBudget,
     path: Vec<Event>,
 }
 
-fn begin(start: Start, guards: Guards) -> World {
+/// Brings a cluster into the state in which the search begins.
+fn initial_cluster(start: Start, guards: Guards) -> Cluster {
     let machines = if matches!(start, Start::MemberLost) { 4 } else { 3 };
-    let mut world = World::new(machines, 3, 3, guards);
-    world.settle();
-    world.chance = false;
-    let leader = (0..3).find(|i| world.leads(*i)).expect("somebody leads in calm");
+    let mut cluster = Cluster::new(machines, 3, 3, guards);
+    cluster.stabilize();
+    cluster.random_timeouts = false;
+    let leader = (0..3).find(|i| cluster.leads_with_lease(*i)).expect("a node that leads without failures");
     let other = (leader + 1) % 3;
     match start {
-        Start::OrderUnderWay => world.order(leader, 1, 0, DiskFate::Synced),
-        Start::LeaderCutOff => {
+        Start::UncommittedOrder => cluster.order(leader, 1, 0, SyncResult::Synced),
+        Start::LeaderPartitioned => {
             for peer in (0..3).filter(|i| *i != leader) {
-                world.cuts.push((leader, peer));
+                cluster.blocked_paths.push((leader, peer));
             }
-            world.order(leader, 1, 0, DiskFate::Synced);
+            cluster.order(leader, 1, 0, SyncResult::Synced);
         }
         Start::MemberLost => {
-            world.kill(other);
-            world.elapse(timing().replace_after);
-            world.order(leader, 1, 0, DiskFate::Synced);
+            cluster.kill(other);
+            cluster.elapse(timing().replace_after);
+            cluster.order(leader, 1, 0, SyncResult::Synced);
         }
         Start::DiskLost => {
-            world.kill(other);
-            world.wipe(other);
-            world.start(other);
-            world.order(leader, 1, 0, DiskFate::Synced);
+            cluster.kill(other);
+            cluster.wipe(other);
+            cluster.start(other);
+            cluster.order(leader, 1, 0, SyncResult::Synced);
         }
     }
-    world
+    cluster
 }
 
-fn key(state: &State) -> u64 {
+/// Identifies a state, to skip the ones that were visited already.
+fn state_hash(state: &State) -> u64 {
     let mut hasher = DefaultHasher::new();
     state.budget.hash(&mut hasher);
-    state.world.fingerprint().hash(&mut hasher);
+    state.cluster.fingerprint().hash(&mut hasher);
     hasher.finish()
 }
 
+/// The events that are possible in a state within its budget.
 fn events(state: &State) -> Vec<Event> {
-    let (world, budget) = (&state.world, state.budget);
-    let mut out = Vec::new();
-    for at in 0..world.messages.len() {
-        out.push(Event::Deliver(at));
+    let (cluster, budget) = (&state.cluster, state.budget);
+    let mut events = Vec::new();
+    for message_index in 0..cluster.messages.len() {
+        events.push(Event::Deliver(message_index));
         if budget.losses > 0 {
-            out.push(Event::Lose(at));
+            events.push(Event::Lose(message_index));
         }
         if budget.kills > 0 {
-            out.push(Event::DeliverAndLosePower(at));
+            events.push(Event::DeliverAndLosePower(message_index));
         }
     }
-    for machine in 0..world.nodes.len() {
-        if world.nodes[machine].core.is_none() {
-            out.push(Event::Start(machine));
+    for machine in 0..cluster.nodes.len() {
+        if cluster.nodes[machine].core.is_none() {
+            events.push(Event::Start(machine));
             continue;
         }
         if budget.ticks > 0 {
-            out.push(Event::Tick(machine));
+            events.push(Event::Tick(machine));
         }
         if budget.holds > 0 {
-            out.push(Event::HoldPasses(machine));
+            events.push(Event::HoldPasses(machine));
         }
         if budget.kills > 0 {
-            out.push(Event::Kill(machine));
+            events.push(Event::Kill(machine));
         }
-        if budget.orders > 0 && world.nodes[machine].core.as_ref().is_some_and(|c| c.is_leader()) {
-            out.push(Event::Order { machine, id: 1 });
-            out.push(Event::Order { machine, id: 2 });
+        if budget.orders > 0 && cluster.nodes[machine].core.as_ref().is_some_and(|c| c.is_leader()) {
+            events.push(Event::Order { machine, id: 1 });
+            events.push(Event::Order { machine, id: 2 });
         }
-        if budget.reads > 0 && world.leads(machine) {
-            out.push(Event::Read(machine));
+        if budget.reads > 0 && cluster.leads_with_lease(machine) {
+            events.push(Event::Read(machine));
         }
     }
-    out
+    events
 }
 
+/// The state after an event.
 fn apply(state: &State, event: Event) -> State {
     let mut next = state.clone();
     next.path.push(event);
-    let (world, budget) = (&mut next.world, &mut next.budget);
+    let (cluster, budget) = (&mut next.cluster, &mut next.budget);
     match event {
-        Event::Deliver(at) => world.deliver(at, DiskFate::Synced),
-        Event::Lose(at) => {
+        Event::Deliver(message_index) => cluster.deliver(message_index, SyncResult::Synced),
+        Event::Lose(message_index) => {
             budget.losses -= 1;
-            world.messages.remove(at);
+            cluster.messages.remove(message_index);
         }
-        Event::DeliverAndLosePower(at) => {
+        Event::DeliverAndLosePower(message_index) => {
             budget.kills -= 1;
-            world.deliver(at, DiskFate::PowerLost { written: false });
+            cluster.deliver(message_index, SyncResult::PowerLost { written: false });
         }
         Event::HoldPasses(machine) => {
             budget.holds -= 1;
-            world.elapse(timing().hold + Duration::from_millis(1));
-            world.input(machine, Input::Tick);
+            cluster.elapse(timing().hold + Duration::from_millis(1));
+            cluster.input(machine, Input::Tick);
         }
         Event::Tick(machine) => {
             budget.ticks -= 1;
-            world.input(machine, Input::Tick);
+            cluster.input(machine, Input::Tick);
         }
         Event::Kill(machine) => {
             budget.kills -= 1;
-            world.kill(machine);
+            cluster.kill(machine);
         }
-        Event::Start(machine) => world.start(machine),
+        Event::Start(machine) => cluster.start(machine),
         Event::Order { machine, id } => {
             budget.orders -= 1;
-            world.order(machine, id, 0, DiskFate::Synced);
+            cluster.order(machine, id, 0, SyncResult::Synced);
         }
         Event::Read(machine) => {
             budget.reads -= 1;
-            world.read(machine);
+            cluster.read(machine);
         }
     }
     next
 }
 
-/// Searches until the limit or until nothing new is reached.
-pub fn search(start: Start, limits: Limits) -> Found {
-    let first = State { world: begin(start, limits.guards), budget: BUDGET, path: Vec::new() };
-    let mut seen = HashSet::from([key(&first)]);
+/// Searches until a violation is found, the limit is reached or no new states are left.
+pub fn search(start: Start, limits: Limits) -> SearchResult {
+    let first = State { cluster: initial_cluster(start, limits.guards), budget: INITIAL_BUDGET, path: Vec::new() };
+    let mut visited = HashSet::from([state_hash(&first)]);
     let mut queue = VecDeque::from([first]);
     let mut depth = 0;
     while let Some(state) = queue.pop_front() {
         depth = state.path.len();
-        if seen.len() >= limits.states {
+        if visited.len() >= limits.states {
             break;
         }
         for event in events(&state) {
             let next = apply(&state, event);
-            if let Some(first) = next.world.monitor.violations.first() {
+            if let Some(first) = next.cluster.monitor.violations.first() {
                 let violation = Some(format!("{first} after {:?}", next.path));
-                return Found { states: seen.len(), depth: next.path.len(), violation };
+                return SearchResult { states: visited.len(), depth: next.path.len(), violation };
             }
-            if seen.insert(key(&next)) {
+            if visited.insert(state_hash(&next)) {
                 queue.push_back(next);
             }
         }
     }
-    Found { states: seen.len(), depth, violation: None }
+    SearchResult { states: visited.len(), depth, violation: None }
 }
--- a/hub/tests/model/walk.rs
+++ b/hub/tests/model/walk.rs
@@ -1,14 +1,14 @@
-//! Long random walks: machines are killed, lose power in the middle of a sync, lose their disks, are replaced, leave and
-//! are cut off, while operators send orders again and again to several machines.
+//! Long random walks: machines are killed, lose power during a sync, lose their disks, are replaced, leave and are
+//! partitioned, while operators repeatedly send orders to several machines.
 
 use hub::consensus::{Guards, Input};
 
 use super::{
-    dice::Dice,
-    world::{DiskFate, World, history, timing},
+    cluster::{Cluster, SyncResult, applied_orders, timing},
+    rng::Rng,
 };
 
-/// How a walk is set up.
+/// The parameters of a walk.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub machines: usize,
@@ -19,210 +19,210 @@
 }
 
 struct Walk {
-    world: World,
-    dice: Dice,
+    cluster: Cluster,
+    rng: Rng,
     zones: usize,
-    /// What each order follows; an order is sent again as it was.
+    /// For each order the number of orders that it is based on; a repeated order keeps its base.
     orders: Vec<usize>,
 }
 
 impl Walk {
     fn any_running(&mut self) -> Option<usize> {
-        let all = self.world.running();
-        (!all.is_empty()).then(|| all[self.dice.below(all.len())])
+        let running = self.cluster.running();
+        (!running.is_empty()).then(|| running[self.rng.index_below(running.len())])
     }
 
-    fn fate(&mut self) -> DiskFate {
-        if self.dice.chance(600) {
-            return DiskFate::PowerLost { written: self.dice.chance(2) };
+    fn random_sync_result(&mut self) -> SyncResult {
+        if self.rng.one_in(600) {
+            return SyncResult::PowerLost { written: self.rng.one_in(2) };
         }
-        DiskFate::Synced
+        SyncResult::Synced
     }
 
     fn step(&mut self) {
-        match self.dice.below(1000) {
+        match self.rng.index_below(1000) {
             0..=599 => self.deliver(),
-            600..=839 => self.time(),
-            840..=929 => self.operator(),
+            600..=839 => self.advance_time(),
+            840..=929 => self.send_operator_request(),
             930..=949 => self.lose_message(),
-            950..=955 => self.cut(),
-            956..=969 => self.world.cuts.clear(),
-            970..=976 => self.trouble(),
+            950..=955 => self.block_paths(),
+            956..=969 => self.cluster.blocked_paths.clear(),
+            970..=976 => self.fail_node(),
             977..=996 => self.repair(),
             997 => self.leave(),
-            _ => self.herd(),
+            _ => self.restart_all(),
         }
     }
 
     fn deliver(&mut self) {
-        let count = self.world.messages.len();
+        let count = self.cluster.messages.len();
         if count == 0 {
             return;
         }
-        // Mostly near the front, so that rounds come to an end.
-        let at = if self.dice.chance(4) { self.dice.below(count) } else { 0 };
-        let fate = self.fate();
-        if self.dice.chance(30) {
-            let again = self.world.messages[at].clone();
-            self.world.messages.push(again);
+        // Mostly the oldest message, so that rounds complete.
+        let position = if self.rng.one_in(4) { self.rng.index_below(count) } else { 0 };
+        let sync_result = self.random_sync_result();
+        if self.rng.one_in(30) {
+            let duplicate = self.cluster.messages[position].clone();
+            self.cluster.messages.push(duplicate);
         }
-        self.world.deliver(at, fate);
+        self.cluster.deliver(position, sync_result);
     }
 
-    fn time(&mut self) {
-        // Messages mostly come before much time goes on.
-        if self.world.messages.len() > self.world.nodes.len() && !self.dice.chance(12) {
+    fn advance_time(&mut self) {
+        // Messages are mostly delivered before much time passes.
+        if self.cluster.messages.len() > self.cluster.nodes.len() && !self.rng.one_in(12) {
             return self.deliver();
         }
-        let span = match self.dice.below(40) {
+        let duration = match self.rng.index_below(40) {
             0 => timing().hold,
             1 => timing().replace_after,
             _ => timing().heartbeat / 8,
         };
-        self.world.elapse(span);
-        for index in self.world.running() {
-            if !self.dice.chance(5) {
-                let fate = self.fate();
-                self.world.input_with(index, Input::Tick, None, fate);
+        self.cluster.elapse(duration);
+        for index in self.cluster.running() {
+            if !self.rng.one_in(5) {
+                let sync_result = self.random_sync_result();
+                self.cluster.input_with(index, Input::Tick, None, sync_result);
             }
         }
     }
 
-    fn operator(&mut self) {
+    fn send_operator_request(&mut self) {
         let Some(index) = self.any_running() else { return };
-        if self.dice.chance(4) {
-            return self.world.read(index);
+        if self.rng.one_in(4) {
+            return self.cluster.read(index);
         }
-        if self.dice.chance(3) {
-            let after = self.newest_length().saturating_sub(self.dice.below(2));
+        if self.rng.one_in(3) {
+            let after = self.newest_order_count().saturating_sub(self.rng.index_below(2));
             self.orders.push(after);
         }
         // One of the newest orders, sent for the first time or again, by one of two operators.
-        let id = self.orders.len().saturating_sub(self.dice.below(4)).max(1);
-        let fate = self.fate();
-        self.world.order(index, id as u32, self.orders[id - 1], fate);
+        let id = self.orders.len().saturating_sub(self.rng.index_below(4)).max(1);
+        let sync_result = self.random_sync_result();
+        self.cluster.order(index, id as u32, self.orders[id - 1], sync_result);
     }
 
-    /// How many orders the newest image on any disk holds.
-    fn newest_length(&self) -> usize {
-        let images = self.world.nodes.iter().filter_map(|n| n.disk.image.as_ref());
-        images.map(|i| history(i).len()).max().unwrap_or(0)
+    /// The largest number of orders in an image on any disk.
+    fn newest_order_count(&self) -> usize {
+        let images = self.cluster.nodes.iter().filter_map(|n| n.disk.image.as_ref());
+        images.map(|i| applied_orders(i).len()).max().unwrap_or(0)
     }
 
     fn lose_message(&mut self) {
-        let count = self.world.messages.len();
+        let count = self.cluster.messages.len();
         if count > 0 {
-            let at = self.dice.below(count);
-            self.world.messages.remove(at);
+            let position = self.rng.index_below(count);
+            self.cluster.messages.remove(position);
         }
     }
 
-    fn cut(&mut self) {
-        let count = self.world.nodes.len();
-        let (one, other) = (self.dice.below(count), self.dice.below(count));
-        self.world.cuts.push((one, other));
-        if self.dice.chance(2) {
-            self.world.cuts.push((other, one));
+    fn block_paths(&mut self) {
+        let count = self.cluster.nodes.len();
+        let (machine, other) = (self.rng.index_below(count), self.rng.index_below(count));
+        self.cluster.blocked_paths.push((machine, other));
+        if self.rng.one_in(2) {
+            self.cluster.blocked_paths.push((other, machine));
         }
-        if self.dice.chance(3) {
-            // Cut off from everybody.
+        if self.rng.one_in(3) {
+            // Isolated from all others.
             for third in 0..count {
-                self.world.cuts.push((one, third));
-                self.world.cuts.push((third, one));
+                self.cluster.blocked_paths.push((machine, third));
+                self.cluster.blocked_paths.push((third, machine));
             }
         }
     }
 
-    fn trouble(&mut self) {
+    fn fail_node(&mut self) {
         let Some(index) = self.any_running() else { return };
-        match self.dice.below(4) {
-            0 => self.world.kill(index),
+        match self.rng.index_below(4) {
+            0 => self.cluster.kill(index),
             1 => {
                 self.wipe(index);
             }
             2 => {
                 if self.wipe(index) {
-                    self.world.start(index);
+                    self.cluster.start(index);
                 }
             }
             _ => self.replace(index),
         }
     }
 
-    /// A disk is lost, where that leaves a quorum of disks to every image that may be the newest.
+    /// Wipes a disk, if that leaves a quorum of disks for every image that may be the newest; returns whether it did.
     fn wipe(&mut self, index: usize) -> bool {
-        let allowed = self.world.bears_loss_of(index);
+        let allowed = self.cluster.tolerates_loss_of(index);
         if allowed {
-            self.world.kill(index);
-            self.world.wipe(index);
+            self.cluster.kill(index);
+            self.cluster.wipe(index);
         }
         allowed
     }
 
-    /// A machine is gone for good, and an empty one comes at another address.
+    /// Removes a machine for good and adds an empty one at another address.
     fn replace(&mut self, index: usize) {
-        if self.world.nodes.len() < 14 && self.wipe(index) {
-            self.world.nodes[index].removed = true;
-            self.world.add(self.zones, false);
+        if self.cluster.nodes.len() < 14 && self.wipe(index) {
+            self.cluster.nodes[index].removed = true;
+            self.cluster.add(self.zones, false);
         }
     }
 
     fn repair(&mut self) {
-        let down = |i: &usize| self.world.nodes[*i].core.is_none() && !self.world.nodes[*i].removed;
-        let down: Vec<usize> = (0..self.world.nodes.len()).filter(down).collect();
-        for index in self.world.running() {
-            if self.world.nodes[index].leaving {
-                self.world.kill(index);
+        let down = |i: &usize| self.cluster.nodes[*i].core.is_none() && !self.cluster.nodes[*i].removed;
+        let down: Vec<usize> = (0..self.cluster.nodes.len()).filter(down).collect();
+        for index in self.cluster.running() {
+            if self.cluster.nodes[index].leaving {
+                self.cluster.kill(index);
             }
         }
         if !down.is_empty() {
-            let index = down[self.dice.below(down.len())];
-            self.world.start(index);
+            let index = down[self.rng.index_below(down.len())];
+            self.cluster.start(index);
         }
     }
 
     fn leave(&mut self) {
         let Some(index) = self.any_running() else { return };
-        self.world.leave(index);
-        if self.dice.chance(2) {
-            self.world.kill(index);
+        self.cluster.leave(index);
+        if self.rng.one_in(2) {
+            self.cluster.kill(index);
         }
     }
 
-    /// Every process is killed at the same moment; disks are kept.
-    fn herd(&mut self) {
-        if !self.dice.chance(4) {
+    /// Kills and restarts all processes at the same time; the disks are kept.
+    fn restart_all(&mut self) {
+        if !self.rng.one_in(4) {
             return;
         }
-        for index in self.world.running() {
-            self.world.kill(index);
+        for index in self.cluster.running() {
+            self.cluster.kill(index);
         }
-        for index in 0..self.world.nodes.len() {
-            self.world.start(index);
+        for index in 0..self.cluster.nodes.len() {
+            self.cluster.start(index);
         }
     }
 }
 
-/// One walk: the first violation, if there is one.
+/// Runs one walk. Returns the number of acknowledged orders, or a description of the first violation.
 pub fn walk(seed: u64, plan: Plan) -> Result<u64, String> {
-    let mut world = World::new(plan.machines, plan.zones, plan.target_members, plan.guards);
-    world.settle();
-    world.reseed(seed);
-    let dice = Dice::new(seed);
-    let mut walk = Walk { world, dice, zones: plan.zones, orders: vec![0] };
+    let mut cluster = Cluster::new(plan.machines, plan.zones, plan.target_members, plan.guards);
+    cluster.stabilize();
+    cluster.reseed(seed);
+    let rng = Rng::new(seed);
+    let mut walk = Walk { cluster, rng, zones: plan.zones, orders: vec![0] };
     for step in 0..plan.steps {
         walk.step();
-        if let Some(first) = walk.world.monitor.violations.first() {
-            let state = super::world::describe(&walk.world);
+        if let Some(first) = walk.cluster.monitor.violations.first() {
+            let state = super::cluster::describe(&walk.cluster);
             return Err(format!("seed {seed}, step {step}: {first}\n{state:#?}"));
         }
     }
-    let recovered = walk.world.recovers();
-    if let Some(first) = walk.world.monitor.violations.first() {
+    let recovered = walk.cluster.recovers();
+    if let Some(first) = walk.cluster.monitor.violations.first() {
         return Err(format!("seed {seed}, afterwards: {first}"));
     }
     if !recovered {
-        return Err(format!("seed {seed}: no order is taken any more\n{:#?}", super::world::describe(&walk.world)));
+        return Err(format!("seed {seed}: no order is taken any more\n{:#?}", super::cluster::describe(&walk.cluster)));
     }
-    Ok(walk.world.monitor.taken())
+    Ok(walk.cluster.monitor.acknowledged_count())
 }
