--- a/hub/src/consensus/core.rs
+++ b/hub/src/consensus/core.rs
@@ -22,7 +22,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Role {
     Follower,
-    Candidate { pre_vote: bool, transfer: bool, nonce: u64, since: Duration, wait: Duration, granted: BTreeSet<String> },
+    /// Requests votes, or pre-votes, for `vote_timeout`; `granted_by` names the control nodes that granted one.
+    /// `transfer` is set if the former leader transferred leadership to this node.
+    Candidate {
+        pre_vote: bool,
+        transfer: bool,
+        nonce: u64,
+        started_at: Duration,
+        vote_timeout: Duration,
+        granted_by: BTreeSet<String>,
+    },
     Leader,
 }
 
@@ -175,7 +184,8 @@
         self.state_to_save()
     }
 
-    /// Continues after the sync; `synced` is `false` if the disk was full, and then the previous state is still in force.
+    /// Continues after the sync; `synced` is `false` if the disk was full, and then the previous state is still in
+    /// force.
     pub fn saved(&mut self, clock: Clock, synced: bool) -> Option<Rc<DurableState>> {
         let (state, next_step) = self.pending_save.take()?;
         if synced {
@@ -262,7 +272,7 @@
             Message::VoteRequest(m) => self.on_vote_request(clock, from, m),
             Message::VoteResponse(m) => self.on_vote_response(from, m),
             Message::Heartbeat(m) => self.on_heartbeat(clock, from, *m),
-            Message::HeartbeatAck(m) => self.on_heartbeat_ack(clock, from, m),
+            Message::HeartbeatAck(m) => self.on_ack(clock, from, m),
         }
     }
 
@@ -277,7 +287,9 @@
             Role::Leader => self.on_leader_tick(clock),
             _ if self.durable.has_no_image() => self.try_form(),
             Role::Follower if clock.now >= self.hold_until.max(self.no_campaign_before) => self.campaign(clock, false),
-            Role::Candidate { since, wait, .. } if clock.now >= *since + *wait => self.campaign(clock, false),
+            Role::Candidate { started_at, vote_timeout, .. } if clock.now >= *started_at + *vote_timeout => {
+                self.campaign(clock, false)
+            }
             _ => {}
         }
         if self.role == Role::Leader {
--- a/hub/src/consensus/election.rs
+++ b/hub/src/consensus/election.rs
@@ -49,9 +49,9 @@
         let nonce = self.next_nonce();
         // The random part keeps two candidates from splitting the votes again and again.
         let random_step = clock.random as u32 % VOTE_WAIT_STEPS;
-        let wait = self.timing.heartbeat + self.timing.heartbeat * random_step / VOTE_WAIT_STEPS;
-        let granted = BTreeSet::from([self.identity.name.clone()]);
-        self.role = Role::Candidate { pre_vote, transfer, nonce, since: clock.now, wait, granted };
+        let vote_timeout = self.timing.heartbeat + self.timing.heartbeat * random_step / VOTE_WAIT_STEPS;
+        let granted_by = BTreeSet::from([self.identity.name.clone()]);
+        self.role = Role::Candidate { pre_vote, transfer, nonce, started_at: clock.now, vote_timeout, granted_by };
         let version = self.version();
         let request = VoteRequest {
             term: if pre_vote { self.next_term() } else { self.durable.term },
@@ -97,7 +97,8 @@
             || (request.term == state.term && (state.voted_for.is_empty() || state.voted_for == from));
         let version = Version { term: request.version_term, index: request.version_index };
         let up_to_date = version >= self.version() || self.guards.vote_for_older;
-        // A newer image may name members that this node's image does not; the candidate counts its votes by its own image.
+        // A newer image may name members that this node's image does not; the candidate counts its votes by its own
+        // image.
         let has_newer_image = version > self.version();
         let is_known_member =
             state.image.is_none() || has_newer_image || self.is_current_member(from, request.incarnation);
@@ -129,8 +130,8 @@
         self.highest_term_seen = self.highest_term_seen.max(response.term);
         let is_valid_vote = response.granted && self.is_current_member(from, response.incarnation);
         match &mut self.role {
-            Role::Candidate { nonce, granted, .. } if *nonce == response.nonce && is_valid_vote => {
-                granted.insert(from.into());
+            Role::Candidate { nonce, granted_by, .. } if *nonce == response.nonce && is_valid_vote => {
+                granted_by.insert(from.into());
             }
             _ => return,
         }
@@ -138,10 +139,10 @@
     }
 
     fn check_votes(&mut self) {
-        let Role::Candidate { pre_vote, transfer, granted, .. } = &self.role else { return };
+        let Role::Candidate { pre_vote, transfer, granted_by, .. } = &self.role else { return };
         let (pre_vote, transfer) = (*pre_vote, *transfer);
         let Some(image) = &self.durable.image else { return };
-        let voted = |name: &str| granted.contains(name);
+        let voted = |name: &str| granted_by.contains(name);
         let won = quorum::has_quorum(image, |m| self.member_satisfies(m, true, |_| voted(&m.name)));
         if !won {
             return;
--- a/hub/src/consensus/images.rs
+++ b/hub/src/consensus/images.rs
@@ -1,5 +1,5 @@
-//! Sending the image to the other control nodes. Plain heartbeats never wait for it: it goes in heartbeat messages of its
-//! own, as a delta to the image that the receiver holds if this node still has that image, and whole otherwise.
+//! Sending the image to the other control nodes. Plain heartbeats never wait for it: it goes in heartbeat messages of
+//! its own, as a delta to the image that the receiver holds if this node still has that image, and whole otherwise.
 
 use std::{collections::VecDeque, fmt, rc::Rc, time::Duration};
 
@@ -123,8 +123,8 @@
         self.effect(Effect::Send { to: to.into(), message: Message::Heartbeat(Box::new(heartbeat)) });
     }
 
-    /// The image carried by a heartbeat, whole or as a delta. `None` if it is not newer than this node's image, or if the
-    /// delta has another base.
+    /// The image carried by a heartbeat, whole or as a delta. `None` if it is not newer than this node's image, or if
+    /// the delta has another base.
     pub(super) fn received_image(&self, heartbeat: &mut Heartbeat) -> Option<Rc<Image>> {
         let version = Version { term: heartbeat.version_term, index: heartbeat.version_index };
         if version <= self.version() && !self.durable.rescued {
--- a/hub/src/consensus/membership.rs
+++ b/hub/src/consensus/membership.rs
@@ -1,9 +1,9 @@
 //! Changes of the membership.
 //!
 //! Any control node that is connected to the leader but is no member is a learner: it receives and syncs the image, but
-//! has no vote and is not counted in quorums. Only a learner that holds the newest image becomes a member, so no member is
-//! ever counted with an empty disk. A change takes two images (joint consensus): the first names the new members and keeps
-//! the old ones as outgoing, and every quorum needs a majority of both; the second drops the outgoing ones.
+//! has no vote and is not counted in quorums. Only a learner that holds the newest image becomes a member, so no member
+//! is ever counted with an empty disk. A change takes two images (joint consensus): the first names the new members and
+//! keeps the old ones as outgoing, and every quorum needs a majority of both; the second drops the outgoing ones.
 //! docs/control-state.md explains which losses each step tolerates.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -67,8 +67,8 @@
         learners
     }
 
-    /// Readmits a member whose disk was lost and which came back with a new incarnation: a disk with the old incarnation
-    /// can never respond again.
+    /// Readmits a member whose disk was lost and which came back with a new incarnation: a disk with the old
+    /// incarnation can never respond again.
     fn readmission(&self, image: &Image, learners: &[Member]) -> Option<MembershipChange> {
         let learner = learners.iter().find(|l| image.members.iter().any(|m| m.name == l.name))?;
         let members = image.members.iter().map(|m| if m.name == learner.name { learner } else { m }).cloned();
@@ -96,8 +96,8 @@
         Some(MembershipChange { members, reason: format!("{} is no longer a member", old.name) })
     }
 
-    /// Adds two learners in one change, if there are fewer members than the target: an even number of members tolerates no
-    /// more losses than the odd number below it.
+    /// Adds two learners in one change, if there are fewer members than the target: an even number of members tolerates
+    /// no more losses than the odd number below it.
     fn growth(&self, image: &Image, learners: &[Member]) -> Option<MembershipChange> {
         if image.members.len() + 2 > self.target_members {
             return None;
--- a/hub/src/consensus/mod.rs
+++ b/hub/src/consensus/mod.rs
@@ -1,8 +1,8 @@
 //! Consensus of the control nodes on one image, the replicated state: terms, votes, leases, quorums, membership.
 //!
-//! [`Core`] is the state machine: it processes one input at a time and returns the states to sync and the messages to send,
-//! without any I/O, so that tests can explore it. [`Consensus`] executes this: it owns the disk, the links and the pending
-//! requests. docs/control-state.md states the invariants and the reasons for them.
+//! [`Core`] is the state machine: it processes one input at a time and returns the states to sync and the messages to
+//! send, without any I/O, so that tests can explore it. [`Consensus`] executes this: it owns the disk, the links and
+//! the pending requests. docs/control-state.md states the invariants and the reasons for them.
 
 mod core;
 mod election;
--- a/hub/src/consensus/quorum.rs
+++ b/hub/src/consensus/quorum.rs
@@ -10,8 +10,8 @@
     members.into_iter().any(|m| m.name == name && m.incarnation == incarnation)
 }
 
-/// Whether the members that satisfy a predicate form a quorum: a majority of the members, and during a membership change
-/// also a majority of the outgoing members.
+/// Whether the members that satisfy a predicate form a quorum: a majority of the members, and during a membership
+/// change also a majority of the outgoing members.
 pub fn has_quorum(image: &Image, predicate: impl Fn(&Member) -> bool) -> bool {
     let majority = |members: &[Member]| members.iter().filter(|m| predicate(m)).count() * 2 > members.len();
     let outgoing_majority = image.outgoing_members.is_empty() || majority(&image.outgoing_members);
--- a/hub/src/consensus/replication.rs
+++ b/hub/src/consensus/replication.rs
@@ -134,7 +134,7 @@
     }
 
     /// Records which version another control node has synced, and steps down if its term is newer.
-    pub(super) fn on_heartbeat_ack(&mut self, clock: Clock, from: &str, ack: HeartbeatAck) {
+    pub(super) fn on_ack(&mut self, clock: Clock, from: &str, ack: HeartbeatAck) {
         let term = self.durable.term;
         let leading = self.role == Role::Leader;
         let Some(peer) = self.peers.get_mut(from) else { return };
@@ -156,8 +156,8 @@
             let version = Version { term: ack.version_term, index: ack.version_index };
             peer.version = peer.version.max(Some(version));
             peer.last_ack = peer.last_ack.max(Some(sent));
-            // This acknowledgement reports whether the image was accepted; if its delta did not apply, the image is sent
-            // again, whole if no delta is available.
+            // This acknowledgement reports whether the image was accepted; if its delta did not apply, the image is
+            // sent again, whole if no delta is available.
             if peer.image_in_flight.is_some_and(|sent| sent.nonce == ack.nonce || Some(sent.version) <= peer.version) {
                 peer.image_in_flight = None;
             }
@@ -215,9 +215,9 @@
         }
     }
 
-    /// Handles a proposed change of the newest image. If nothing has to change, the request is resolved once that image is
-    /// committed and a quorum has confirmed this leader after the call, so that no response depends on an image that could
-    /// still be lost or that a later leader replaced.
+    /// Handles a proposed change of the newest image. If nothing has to change, the request is resolved once that image
+    /// is committed and a quorum has confirmed this leader after the call, so that no response depends on an image that
+    /// could still be lost or that a later leader replaced.
     pub(super) fn on_propose(&mut self, clock: Clock, request_id: RequestId, change: Change) {
         if self.leaving || !self.leads_with_lease(clock.now) {
             return self.resolve(request_id, Outcome::Unavailable);
--- a/hub/src/consensus/service.rs
+++ b/hub/src/consensus/service.rs
@@ -52,8 +52,8 @@
     pub bell: Notify,
     /// Open outgoing links, by the name of the other control node.
     pub(super) links: RefCell<BTreeMap<String, LinkWriter>>,
-    /// Addresses of control nodes that connected to this node or were reported in heartbeats, with the time when they were
-    /// last seen.
+    /// Addresses of control nodes that connected to this node or were reported in heartbeats, with the time when they
+    /// were last seen.
     pub(super) discovered: RefCell<BTreeMap<SocketAddr, Duration>>,
     /// Addresses with an open outgoing link.
     pub(super) connected: RefCell<BTreeSet<SocketAddr>>,
@@ -67,8 +67,8 @@
 }
 
 impl Consensus {
-    /// Creates the service from the state on disk, and the queue for [`Consensus::run`]. `target_members` is the number of
-    /// members to reach and keep.
+    /// Creates the service from the state on disk, and the queue for [`Consensus::run`]. `target_members` is the number
+    /// of members to reach and keep.
     pub fn new(
         env: &Env,
         identity: Identity,
@@ -186,9 +186,9 @@
         outcome.await.unwrap_or(Outcome::Unknown)
     }
 
-    /// Proposes a change of the image and waits until it is committed. An error of `make` is returned only once the image
-    /// that it was given is committed and a quorum has confirmed this leader after the call. Other errors: `Unconfirmed` if
-    /// nothing was changed, `OutcomeUnknown` if the change may still be committed, `DiskFull`.
+    /// Proposes a change of the image and waits until it is committed. An error of `make` is returned only once the
+    /// image that it was given is committed and a quorum has confirmed this leader after the call. Other errors:
+    /// `Unconfirmed` if nothing was changed, `OutcomeUnknown` if the change may still be committed, `DiskFull`.
     pub async fn propose(
         &self,
         make: impl FnOnce(&Image) -> Result<Image, ErrorKind> + 'static,
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Transfers leadership and, if another control node can take it, the membership, before the process ends. Waits for at
-    /// most two call timeouts.
+    /// Transfers leadership and, if another control node can take it, the membership, before the process ends. Waits
+    /// for at most two call timeouts.
     pub async fn leave(&self) {
         self.queue(Input::Leave, None);
         let can_end = self.bell.wait_until(|| self.core.borrow().can_shut_down().then_some(()));
--- a/hub/src/consensus/types.rs
+++ b/hub/src/consensus/types.rs
@@ -152,8 +152,8 @@
 pub enum Outcome {
     /// The change is on a quorum of disks.
     Committed(Rc<Image>),
-    /// Nothing was changed; the image that the request was based on is on a quorum of disks, and this node still led after
-    /// the call.
+    /// Nothing was changed; the image that the request was based on is on a quorum of disks, and this node still led
+    /// after the call.
     Confirmed(Rc<Image>),
     /// The change may still be committed or may be lost.
     Unknown,
--- a/hub/src/store/mod.rs
+++ b/hub/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! The data folder of a control node: two slot files written alternately, and a short log of the states since.
 //!
-//! A record holds a whole state. When the log is full, the next state goes into the slot that is not the newest one, and
-//! the log starts again with the same state. Slot writes are numbered by generation; a record of the log belongs to the
-//! slot of the same generation.
+//! A record holds a whole state. When the log is full, the next state goes into the slot that is not the newest one,
+//! and the log starts again with the same state. Slot writes are numbered by generation; a record of the log belongs to
+//! the slot of the same generation.
 
 mod record;
 
@@ -94,11 +94,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("no data folder is set")]
-    None,
+    NoDataFolder,
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("{file} has format {found}, and this program knows {FORMAT_VERSION} and older")]
-    Newer { file: &'static str, found: u32 },
+    NewerFormat { file: &'static str, found: u32 },
 }
 
 /// Reads and writes a control node's data folder.
@@ -115,10 +115,10 @@
 }
 
 impl Store {
-    /// Opens the data folder and reads the newest state. The log is limited to `max_log_bytes`, or to a few records if those
-    /// are larger.
+    /// Opens the data folder and reads the newest state. The log is limited to `max_log_bytes`, or to a few records if
+    /// those are larger.
     pub async fn open(env: &Env, max_log_bytes: u64) -> Result<(Self, DurableState, Found), Fault> {
-        let disk = env.disk().ok_or(Fault::None)?;
+        let disk = env.disk().ok_or(Fault::NoDataFolder)?;
         let mut newest: Option<(u64, DurableState)> = None;
         let mut has_data = false;
         for file in SLOT_FILES {
@@ -129,7 +129,7 @@
                     newest = Some((generation, state))
                 }
                 Ok(_) => {}
-                Err(found) => return Err(Fault::Newer { file, found }),
+                Err(found) => return Err(Fault::NewerFormat { file, found }),
             }
         }
         let log = disk.read(LOG_FILE).await?;
@@ -163,7 +163,7 @@
 
     /// Reads the log's records of its newest generation; `None` if there is no valid record.
     fn replay_log(&self, log: &[u8]) -> Result<Option<ReplayedLog>, Fault> {
-        let newer = |found| Fault::Newer { file: LOG_FILE, found };
+        let newer = |found| Fault::NewerFormat { file: LOG_FILE, found };
         let mut out: Option<ReplayedLog> = None;
         let mut at = 0;
         while let Some((generation, state, size)) = decode(&log[at..]).map_err(newer)? {
@@ -195,7 +195,8 @@
         if full {
             let generation = self.generation + 1;
             if self.must_reset {
-                // Generations restart on a disk that can't be read; an old log record must not be mistaken for a newer one.
+                // Generations restart on a disk that can't be read; an old log record must not be mistaken for a newer
+                // one.
                 self.disk.write(LOG_FILE, Vec::new()).await?;
             }
             self.disk.write(SLOT_FILES[generation as usize % 2], encode(generation, state)).await?;
@@ -215,8 +216,8 @@
         Ok(())
     }
 
-    /// Writes and syncs a state. Returns `false` if the disk is full; then the previous state is still in force. Any other
-    /// error aborts the process, because it is unknown what the disk holds.
+    /// Writes and syncs a state. Returns `false` if the disk is full; then the previous state is still in force. Any
+    /// other error aborts the process, because it is unknown what the disk holds.
     pub async fn keep(&mut self, state: &DurableState) -> bool {
         match self.save(state).await {
             Ok(()) => true,
--- a/hub/src/store/record.rs
+++ b/hub/src/store/record.rs
@@ -7,7 +7,8 @@
 
 use super::DurableState;
 
-/// A state as it is stored. The image is encoded separately, because it is shared and would have to be copied otherwise.
+/// A state as it is stored. The image is encoded separately, because it is shared and would have to be copied
+/// otherwise.
 #[derive(Clone, PartialEq, Message)]
 struct StoredState {
     #[prost(uint64, tag = "1")]
@@ -64,8 +65,8 @@
 /// The size of a record's header, which precedes its data.
 pub const HEADER_BYTES: usize = 28;
 
-/// Encodes one record: magic (4 bytes), format version (4), generation (8), data size (8), CRC-32 (4), data. Numbers are
-/// little-endian; the checksum covers the rest of the header and the data.
+/// Encodes one record: magic (4 bytes), format version (4), generation (8), data size (8), CRC-32 (4), data. Numbers
+/// are little-endian; the checksum covers the rest of the header and the data.
 pub fn encode(generation: u64, state: &DurableState) -> Vec<u8> {
     let data = StoredState::from_state(state).encode_to_vec();
     let mut out = Vec::with_capacity(HEADER_BYTES + data.len());
@@ -85,8 +86,8 @@
     u64::from_le_bytes(std::array::from_fn(|i| buf[at + i]))
 }
 
-/// Decodes the record at the start of `buf`: its generation, state and size in bytes. `None` if there is no valid record;
-/// the error is the record's format version, if it is newer than this program's.
+/// Decodes the record at the start of `buf`: its generation, state and size in bytes. `None` if there is no valid
+/// record; the error is the record's format version, if it is newer than this program's.
 pub fn decode(buf: &[u8]) -> Result<Option<(u64, DurableState, usize)>, u32> {
     if buf.len() < HEADER_BYTES || buf[..4] != MAGIC {
         return Ok(None);
--- a/hub/tests/consensus.rs
+++ b/hub/tests/consensus.rs
@@ -1,4 +1,5 @@
-//! The consensus core under all orders of events that a bounded search reaches, and in long random walks that go further.
+//! The consensus core under all orders of events that a bounded search reaches, and in long random walks that go
+//! further.
 
 mod model;
 
--- a/hub/tests/consensus_days.rs
+++ b/hub/tests/consensus_days.rs
@@ -1,5 +1,5 @@
-//! Failure scenarios of the control nodes, step by step: partitions of twenty seconds, further losses right after a repair,
-//! hundreds of changes, power losses during the first start.
+//! Failure scenarios of the control nodes, step by step: partitions of twenty seconds, further losses right after a
+//! repair, hundreds of changes, power losses during the first start.
 
 mod model;
 
@@ -41,8 +41,8 @@
     assert!(cluster.monitor.violations.is_empty(), "{:?}", cluster.monitor.violations);
 }
 
-/// The leader is partitioned for twenty seconds, for sending, for receiving or both, while operators read and send the same
-/// orders on both sides. It must not confirm anything after its lease has expired.
+/// The leader is partitioned for twenty seconds, for sending, for receiving or both, while operators read and send the
+/// same orders on both sides. It must not confirm anything after its lease has expired.
 #[test]
 fn a_leader_that_is_cut_off_for_twenty_seconds_confirms_nothing() {
     for direction in 0..3 {
@@ -127,8 +127,8 @@
     run_for(cluster, RECOVERY_TIME);
 }
 
-/// Three losses in every combination, each as soon as the bound allows it, on the leader or on a follower; a machine that was
-/// just repaired may be hit again. Afterwards all machines lose power, and orders must still be accepted.
+/// Three losses in every combination, each as soon as the bound allows it, on the leader or on a follower; a machine
+/// that was just repaired may be hit again. Afterwards all machines lose power, and orders must still be accepted.
 #[test]
 fn a_second_and_third_loss_right_after_a_repair_leave_a_majority() {
     let mut scenarios = 0;
@@ -195,8 +195,8 @@
     assert_clean(&cluster);
 }
 
-/// One side of a partition replaces a member that it can't reach, while the other side elects a leader: a membership change
-/// that needed a majority of the new members only would create two independent systems.
+/// One side of a partition replaces a member that it can't reach, while the other side elects a leader: a membership
+/// change that needed a majority of the new members only would create two independent systems.
 fn members_change_while_the_old_ones_elect(guards: Guards) -> Vec<String> {
     let mut violations = Vec::new();
     for eighths_early in 0..12u32 {
@@ -256,8 +256,8 @@
     assert_clean(&cluster);
 }
 
-/// A member misses a membership change and is then one of the two that are left: the other one has the newest image, but the
-/// first one's image does not name it as a member.
+/// A member misses a membership change and is then one of the two that are left: the other one has the newest image,
+/// but the first one's image does not name it as a member.
 #[test]
 fn a_member_that_missed_a_change_of_the_membership_votes_for_one_that_it_does_not_know() {
     let mut cluster = stable_cluster(4, 3, ALL_GUARDS);
@@ -278,8 +278,8 @@
     assert_clean(&cluster);
 }
 
-/// A member that was down for three hundred changes must receive the newest state before it can lead; at most two images are
-/// sent for that.
+/// A member that was down for three hundred changes must receive the newest state before it can lead; at most two
+/// images are sent for that.
 #[test]
 fn a_member_away_for_three_hundred_changes_never_leads_with_old_state() {
     let mut cluster = stable_cluster(3, 3, ALL_GUARDS);
@@ -354,7 +354,8 @@
     assert!(!cluster.monitor.violations.is_empty(), "nothing was found with the guard disabled");
 }
 
-/// A large image in flight must not delay heartbeats: while it takes ten hold times to arrive, the leader stays the same.
+/// A large image in flight must not delay heartbeats: while it takes ten hold times to arrive, the leader stays the
+/// same.
 #[test]
 fn leadership_stays_while_a_large_image_is_in_flight() {
     let mut cluster = stable_cluster(5, 5, ALL_GUARDS);
@@ -390,8 +391,8 @@
     assert_clean(&cluster);
 }
 
-/// After a change of leadership the new leader saves the same image under its own term; that takes few bytes on the network,
-/// however large the image is.
+/// After a change of leadership the new leader saves the same image under its own term; that takes few bytes on the
+/// network, however large the image is.
 #[test]
 fn a_change_of_leadership_sends_no_whole_image() {
     let bytes = |route_count: usize| {
--- a/hub/tests/leases.rs
+++ b/hub/tests/leases.rs
@@ -35,7 +35,7 @@
 
 /// The last heartbeat of an earlier run is delayed and arrives after the next run has received its leases.
 #[test]
-fn a_heartbeat_of_an_earlier_run_takes_back_no_lease_of_the_next_run() {
+fn a_report_of_an_earlier_run_takes_back_no_lease_of_the_next_run() {
     let mut table = table();
     table.told(&NodeHeartbeat { leaving: true, ..heartbeat(1, 900) }, NOW);
     table.told(&heartbeat(1, 900), NOW);
@@ -69,8 +69,8 @@
 const CONNECTION_CAP: u64 = 9;
 const HEARTBEAT: Duration = Duration::from_millis(250);
 
-/// Simulates twelve nodes that each request a connection, for one minute. Returns the longest time that a node had none, and
-/// the maximum number of connections leased at the same time.
+/// Simulates twelve nodes that each request a connection, for one minute. Returns the longest time that a node had
+/// none, and the maximum number of connections leased at the same time.
 fn longest_without_a_share(enforces_own_cap: bool) -> (Duration, u64) {
     let names: Vec<String> = (0..NODE_COUNT).map(|i| format!("n{i:02}")).collect();
     let mut table = LeaseTable::new(Duration::ZERO);
--- a/hub/tests/model/cluster.rs
+++ b/hub/tests/model/cluster.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster of control nodes for the model checker: the product's consensus core, disks, messages in flight, and
-//! the results reported to operators. Nothing here waits: time advances only by explicit steps.
+//! A simulated cluster of control nodes for the model checker: the product's consensus core, disks, messages in flight,
+//! and the results reported to operators. Nothing here waits: time advances only by explicit steps.
 
 use std::{cell::Cell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -361,8 +361,8 @@
         format!("{:?} {nodes:?} {messages:?} {:?} {:?}", self.now, self.blocked_paths, self.monitor)
     }
 
-    /// Unblocks all paths, restarts all machines and delivers messages in the order of sending; returns whether an order
-    /// is then acknowledged within 200 tries.
+    /// Unblocks all paths, restarts all machines and delivers messages in the order of sending; returns whether an
+    /// order is then acknowledged within 200 tries.
     pub fn recovers(&mut self) -> bool {
         self.blocked_paths.clear();
         for index in self.running() {
--- a/hub/tests/model/search.rs
+++ b/hub/tests/model/search.rs
@@ -1,4 +1,5 @@
-//! A breadth-first search over the possible orders of events, from states in which a request or a failure is in progress.
+//! A breadth-first search over the possible orders of events, from states in which a request or a failure is in
+//! progress.
 
 use std::{
     collections::{HashSet, VecDeque, hash_map::DefaultHasher},
--- a/hub/tests/orders.rs
+++ b/hub/tests/orders.rs
@@ -1,5 +1,5 @@
-//! The memory of applied orders: how an order is identified, the bound and size of the memory, and the records of earlier
-//! versions.
+//! The memory of applied orders: how an order is identified, the bound and size of the memory, and the records of
+//! earlier versions.
 
 use hub::operator::identity::{Identity, Memory, RECORD_BYTES, REMEMBERED};
 use prost::Message;
--- a/hub/tests/store.rs
+++ b/hub/tests/store.rs
@@ -161,7 +161,7 @@
     checksum.update(&data[28..]);
     data[24..28].copy_from_slice(&checksum.finalize().to_le_bytes());
     disk.0.borrow_mut().insert("slot-a".into(), data);
-    assert!(matches!(open(&disk, 300), Err(Fault::Newer { file: "slot-a", .. })));
+    assert!(matches!(open(&disk, 300), Err(Fault::NewerFormat { file: "slot-a", .. })));
 }
 
 #[test]
