--- a/hub/src/consensus/core.rs
+++ b/hub/src/consensus/core.rs
@@ -15,7 +15,7 @@
 };
 use crate::store::{DurableState, Version};
 
-/// Number of heartbeats to one node whose sending times are kept; an acknowledgement of an older one is ignored.
+/// Number of heartbeats to one node whose sending times are kept; an acknowledgement of an older one proves no contact.
 const MAX_SENT_HEARTBEATS: usize = 64;
 
 /// The role of a control node in its term.
