--- a/hub/src/entrance.rs
+++ b/hub/src/forwarding.rs
@@ -14,77 +14,77 @@
 
 /// The way from this hub to the leading one.
 #[derive(Clone, Debug, PartialEq)]
-enum Way {
+enum LeaderPath {
     /// This hub leads.
-    Here,
+    Local,
     /// Over this parent, which is so far from it.
-    Over(String, u32),
-    Nowhere,
+    Via(String, u32),
+    Unreachable,
 }
 
 /// One hub's entrance for operators and servers.
 ///
 /// Whatever comes in here may be sent up twice: an order is known by its identity, and an evacuation or a server's beat
 /// brings about the same state again.
-pub struct Entrance {
+pub struct LeaderForwarder {
     pub env: Env,
     pub bounds: Bounds,
     pub relay: Rc<Relay>,
     pub consensus: Rc<Consensus>,
 }
 
-impl Entrance {
+impl LeaderForwarder {
     /// Hands a request to the leading hub, and once more where the way was lost meanwhile or no answer comes: a node
     /// on the way that lost its own parent drops what it can't hand on.
-    pub async fn pass(&self, ask: HttpRequest) -> HttpResponse {
-        let end = self.env.now() + self.patience();
-        let mut sent = false;
+    pub async fn forward(&self, request: HttpRequest) -> HttpResponse {
+        let deadline = self.env.now() + self.forward_timeout();
+        let mut was_sent = false;
         loop {
-            let way = self.way();
-            if way != Way::Nowhere {
-                sent = true;
-                let answer = pin!(self.relay.forward(ask.clone()));
-                let lost = pin!(self.env.timeout(self.resend(), self.changed(&way)));
-                if let Either::Left((ret, _)) = select(answer, lost).await {
-                    return ret;
+            let path = self.current_path();
+            if path != LeaderPath::Unreachable {
+                was_sent = true;
+                let response = pin!(self.relay.forward(request.clone()));
+                let path_lost = pin!(self.env.timeout(self.resend_interval(), self.path_changed(&path)));
+                if let Either::Left((response, _)) = select(response, path_lost).await {
+                    return response;
                 }
             }
-            if self.env.now() >= end {
-                let kind = if sent { ErrorKind::OutcomeUnknown } else { ErrorKind::Unconfirmed };
+            if self.env.now() >= deadline {
+                let kind = if was_sent { ErrorKind::OutcomeUnknown } else { ErrorKind::Unconfirmed };
                 return error_response(kind, "no way to the leading hub", None);
             }
-            self.env.sleep(self.step()).await;
+            self.env.sleep(self.poll_interval()).await;
         }
     }
 
     /// How long a way is looked for: callers wait for a second.
-    fn patience(&self) -> Duration {
+    fn forward_timeout(&self) -> Duration {
         self.bounds.call_timeout() * 3 / 2
     }
 
     /// After how long without an answer a request is sent up again: a third of the patience.
-    fn resend(&self) -> Duration {
-        self.patience() / 3
+    fn resend_interval(&self) -> Duration {
+        self.forward_timeout() / 3
     }
 
     /// How often the way is looked at.
-    fn step(&self) -> Duration {
+    fn poll_interval(&self) -> Duration {
         self.bounds.control_heartbeat() / 4
     }
 
-    fn way(&self) -> Way {
+    fn current_path(&self) -> LeaderPath {
         if self.consensus.leads() {
-            return Way::Here;
+            return LeaderPath::Local;
         }
         match self.relay.tree_position() {
-            (parent, _) if parent.is_empty() || !self.relay.reaches_leader() => Way::Nowhere,
-            (parent, depth) => Way::Over(parent, depth),
+            (parent, _) if parent.is_empty() || !self.relay.reaches_leader() => LeaderPath::Unreachable,
+            (parent, depth) => LeaderPath::Via(parent, depth),
         }
     }
 
-    async fn changed(&self, way: &Way) {
-        while self.way() == *way {
-            self.env.sleep(self.step()).await;
+    async fn path_changed(&self, path: &LeaderPath) {
+        while self.current_path() == *path {
+            self.env.sleep(self.poll_interval()).await;
         }
     }
 }
--- a/hub/src/door.rs
+++ b/hub/src/http_endpoint.rs
@@ -15,33 +15,33 @@
 use crate::consensus::Consensus;
 
 /// One operator's or server's connection.
-pub struct Desk {
+pub struct HttpHandler {
     pub relay: Rc<Relay>,
     pub consensus: Rc<Consensus>,
     pub lag: Rc<LoopLag>,
 }
 
-impl RequestHandler for Desk {
-    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
+impl RequestHandler for HttpHandler {
+    fn handle(&self, request: HttpRequest) -> LocalFuture<HttpResponse> {
         let (relay, consensus, lag) = (self.relay.clone(), self.consensus.clone(), self.lag.clone());
         Box::pin(async move {
-            match ask.path_segments()[..] {
+            match request.path_segments()[..] {
                 ["status"] => status(&relay, &consensus),
                 ["db", ..] => error_response(ErrorKind::NoPath, "callers are served by spokes", None),
                 ["metrics"] => metrics(&relay, &consensus, &lag),
-                _ => relay.forward(ask).await,
+                _ => relay.forward(request).await,
             }
         })
     }
 }
 
 fn metrics(relay: &Relay, consensus: &Consensus, lag: &LoopLag) -> HttpResponse {
-    let empty = consensus.empty();
-    let sequence = consensus.image().map_or(0, |i| i.sequence);
+    let is_empty = consensus.empty();
+    let sequence = consensus.image().map_or(0, |image| image.sequence);
     metrics::page(&[
         ("hub_leads", "gauge", "1 while this hub leads for sure", u64::from(consensus.leads())),
         ("hub_term", "gauge", "the newest term this hub knows", consensus.term().0),
-        ("hub_blank", "gauge", "1 while its disk's memory does not count", u64::from(empty)),
+        ("hub_blank", "gauge", "1 while its disk's memory does not count", u64::from(is_empty)),
         ("hub_sequence", "gauge", "the newest doorway set's sequence, while leading", sequence),
         ("hub_children", "gauge", "nodes whose parent it is", relay.children().len() as u64),
         ("corrupt_frames_total", "counter", "links closed on a corrupt frame", relay.corrupt_frames.get()),
@@ -59,7 +59,7 @@
 
 fn status(relay: &Relay, consensus: &Consensus) -> HttpResponse {
     let (parent, depth) = relay.tree_position();
-    let empty = consensus.empty();
+    let is_empty = consensus.empty();
     let text = format!(
         "{{\"name\":\"{}\",\"area\":\"{}\",\"hub\":true,\"leads\":{},\"leader\":\"{}\",\"term\":{},\"blank\":{},\"fed\":{},\"parent\":\"{}\",\"depth\":{},\"children\":{},\"corrupt\":{}}}",
         relay.identity.name,
@@ -67,7 +67,7 @@
         consensus.leads(),
         consensus.leader(),
         consensus.term().0,
-        empty,
+        is_empty,
         relay.reaches_leader(),
         parent,
         depth,
--- a/hub/src/leadership/failover.rs
+++ b/hub/src/leadership/failover.rs
@@ -13,64 +13,71 @@
 use super::Leadership;
 
 /// How many bits of a fencing token count the namings within a term.
-const NAMING_BITS: u32 = 20;
+const PROMOTION_COUNT_BITS: u32 = 20;
 
 /// For how long the duty of naming primaries rests when it goes from one control node to another and both are well: the
 /// platform's users count on one holder in any span of this length.
-const DUTY_REST: Duration = Duration::from_secs(3);
+const PROMOTER_CHANGE_PAUSE: Duration = Duration::from_secs(3);
 
 /// What a server that confirms showed lately.
-struct PrimarySight {
+struct ConfirmingServer {
     name: String,
-    leads: bool,
-    line: u64,
-    place: Position,
+    is_primary: bool,
+    epoch: u64,
+    position: Position,
     /// Neither draining nor gone nor in an emptied area.
-    fit: bool,
-    cold: u32,
+    eligible: bool,
+    cold_step: u32,
 }
 
 impl Leadership {
     /// The servers of a group as read after `since`.
-    fn sighted(&self, g: &Group, image: &Image, since: Duration) -> Vec<PrimarySight> {
-        let talks = self.talks.borrow();
-        let told = self.servers.borrow();
-        let row = |s: &String| {
-            let (asked, row) = talks.get(s)?.row?;
-            let t = told.get(s)?;
-            (asked >= since).then(|| PrimarySight {
-                name: s.clone(),
-                leads: row.is_primary,
-                line: row.epoch,
-                place: row.position,
-                fit: !t.draining && !t.gone && !image.evacuated_zones.contains(&t.area),
-                cold: (t.cold * 20.0) as u32,
+    fn statuses_since(&self, group: &Group, image: &Image, since: Duration) -> Vec<ConfirmingServer> {
+        let server_statuses = self.server_statuses.borrow();
+        let servers = self.servers.borrow();
+        let row = |server: &String| {
+            let (requested_at, row) = server_statuses.get(server)?.last_status?;
+            let record = servers.get(server)?;
+            (requested_at >= since).then(|| ConfirmingServer {
+                name: server.clone(),
+                is_primary: row.is_primary,
+                epoch: row.epoch,
+                position: row.position,
+                eligible: !record.draining && !record.gone && !image.evacuated_zones.contains(&record.zone),
+                cold_step: (record.cold * 20.0) as u32,
             })
         };
-        g.servers.iter().filter_map(row).collect()
+        group.servers.iter().filter_map(row).collect()
     }
 
-    fn primary(&self, g: &Group, image: &Image) -> Option<PrimarySight> {
+    fn observed_primary(&self, group: &Group, image: &Image) -> Option<ConfirmingServer> {
         let since = self.env.now().saturating_sub(self.bounds.server_missed_after());
-        self.sighted(g, image, since).into_iter().filter(|s| s.leads).max_by_key(|s| s.line)
+        self.statuses_since(group, image, since)
+            .into_iter()
+            .filter(|server| server.is_primary)
+            .max_by_key(|server| server.epoch)
     }
 
     /// For how long the middle one of those who look at a server has had a question to it unanswered. Where nobody
     /// listens at its address any more, waiting longer tells nothing.
-    pub(super) fn silent(&self, server: &str) -> Duration {
+    pub(super) fn unanswered_for(&self, server: &str) -> Duration {
         let now = self.env.now();
-        let fresh = now.saturating_sub(self.bounds.node_heartbeat() * 4);
-        let shut = self.bounds.server_missed_after() * 2;
-        let own = match self.talks.borrow().get(server) {
-            Some(t) if t.refused > 1 => shut,
-            Some(t) => t.open.map_or(Duration::ZERO, |t| now.saturating_sub(t)),
+        let recent = now.saturating_sub(self.bounds.node_heartbeat() * 4);
+        let refused_age = self.bounds.server_missed_after() * 2;
+        let own_age = match self.server_statuses.borrow().get(server) {
+            Some(status) if status.refusals > 1 => refused_age,
+            Some(status) => status.unanswered_since.map_or(Duration::ZERO, |since| now.saturating_sub(since)),
             None => Duration::ZERO,
         };
-        let mut ages = vec![own];
-        for seat in self.seats.borrow().values().filter(|s| !s.hub && s.heard > fresh) {
-            if let Some(x) = seat.sights.get(server) {
-                let late = now.saturating_sub(seat.heard).saturating_sub(self.bounds.node_heartbeat());
-                ages.push(if x.refused { shut } else { Duration::from_millis(x.age) + late });
+        let mut ages = vec![own_age];
+        for node in self.nodes.borrow().values().filter(|node| !node.is_control_node && node.last_heartbeat > recent) {
+            if let Some(observation) = node.observations.get(server) {
+                let report_age = now.saturating_sub(node.last_heartbeat).saturating_sub(self.bounds.node_heartbeat());
+                ages.push(if observation.refused {
+                    refused_age
+                } else {
+                    Duration::from_millis(observation.age) + report_age
+                });
             }
         }
         ages.sort();
@@ -78,455 +85,543 @@
     }
 
     /// A node tells of a grant that an earlier leading hub gave: all that were out with it named the same server.
-    pub(super) fn note_held_lease(&self, l: &wire::PrimaryLeaseGrant) {
-        let mut all = self.standings.borrow_mut();
-        let Some(st) = all.get_mut(&l.group) else { return };
-        if st.server.is_empty() && !st.closed {
-            st.server.clone_from(&l.server);
-            st.line = l.epoch;
-            st.granting = true;
-            st.proven = true;
+    pub(super) fn note_held_lease(&self, lease: &wire::PrimaryLeaseGrant) {
+        let mut group_leadership = self.group_leadership.borrow_mut();
+        let Some(leadership) = group_leadership.get_mut(&lease.group) else { return };
+        if leadership.server.is_empty() && !leadership.ignore_reported_leases {
+            leadership.server.clone_from(&lease.server);
+            leadership.epoch = lease.epoch;
+            leadership.granting = true;
+            leadership.proven = true;
         }
     }
 
-    fn stand(&self, group: &str) -> super::GroupLeadership {
-        self.standings.borrow().get(group).cloned().unwrap_or_default()
+    fn leadership_of(&self, group: &str) -> super::GroupLeadership {
+        self.group_leadership.borrow().get(group).cloned().unwrap_or_default()
     }
 
-    fn withdraw(&self, group: &str, why: &str) {
-        let was = self.stand(group).granting;
-        self.edit(group, |s| {
-            s.granting = false;
-            s.proven = false;
-            s.closed = true;
-            s.why = why.into();
+    fn revoke_leases(&self, group: &str, reason: &str) {
+        let was_granting = self.leadership_of(group).granting;
+        self.update_group(group, |state| {
+            state.granting = false;
+            state.proven = false;
+            state.ignore_reported_leases = true;
+            state.reason = reason.into();
         });
-        if was {
-            self.log(Component::Elect, format!("grants of {group} are called back: {why}"));
+        if was_granting {
+            self.log(Component::Elect, format!("grants of {group} are called back: {reason}"));
             self.relay.request_heartbeats();
-            self.bell.notify_waiters();
+            self.state_changed.notify_waiters();
         }
     }
 
     /// One look at a group.
-    pub(super) async fn tend_confirming(&self, g: &Group, image: &Image) {
-        let mut st = self.stand(&g.name);
+    pub(super) async fn supervise_confirming(&self, group: &Group, image: &Image) {
+        let mut leadership = self.leadership_of(&group.name);
         let now = self.env.now();
-        let prim = self.primary(g, image);
-        if st.server.is_empty()
-            && let Some(e) = image.election(&g.name).filter(|e| g.servers.contains(&e.server))
+        let observed = self.observed_primary(group, image);
+        if leadership.server.is_empty()
+            && let Some(election) =
+                image.election(&group.name).filter(|election| group.servers.contains(&election.server))
         {
             // Grants were given for no other since that was written down.
-            st.server.clone_from(&e.server);
-            st.line = e.epoch;
-            self.edit(&g.name, |s| (s.server, s.line) = (e.server.clone(), e.epoch));
-        }
-        if let Some(p) = &prim {
-            self.fence(g, p, &st).await;
-            if st.server != p.name && (st.server.is_empty() || p.line > st.line) {
-                return self.adopt_primary(g, image, p, &st).await;
+            leadership.server.clone_from(&election.server);
+            leadership.epoch = election.epoch;
+            self.update_group(&group.name, |state| {
+                (state.server, state.epoch) = (election.server.clone(), election.epoch)
+            });
+        }
+        if let Some(primary) = &observed {
+            self.fence_earlier_leader(group, primary, &leadership).await;
+            if leadership.server != primary.name && (leadership.server.is_empty() || primary.epoch > leadership.epoch) {
+                return self.adopt_primary(group, image, primary, &leadership).await;
             }
-            if st.server == p.name {
-                if p.line > st.line {
-                    self.edit(&g.name, |s| s.line = p.line);
+            if leadership.server == primary.name {
+                if primary.epoch > leadership.epoch {
+                    self.update_group(&group.name, |state| state.epoch = primary.epoch);
                 }
-                if image.election(&g.name).is_none_or(|e| e.server != p.name || e.epoch != p.line) {
-                    self.write_down(g, p).await;
+                if image
+                    .election(&group.name)
+                    .is_none_or(|election| election.server != primary.name || election.epoch != primary.epoch)
+                {
+                    self.record_primary(group, primary).await;
                 }
             }
         }
-        if st.server.is_empty() {
+        if leadership.server.is_empty() {
             // Nobody says that it leads, and no node holds a grant.
-            let known = g.servers.len() > 1 && now > self.consensus.term().1 + self.bounds.server_missed_after() * 2;
-            if known && prim.is_none() && self.leases.borrow().primary_free(&g.name, now) {
-                self.fail_over(g, "").await;
+            let may_elect =
+                group.servers.len() > 1 && now > self.consensus.term().1 + self.bounds.server_missed_after() * 2;
+            if may_elect && observed.is_none() && self.leases.borrow().primary_free(&group.name, now) {
+                self.fail_over(group, "").await;
             }
             return;
         }
-        let silent = self.silent(&st.server);
-        if silent > self.bounds.server_missed_after() {
-            self.withdraw(&g.name, &format!("{} does not answer", st.server));
-            self.fail_over(g, &st.server).await;
+        let unanswered = self.unanswered_for(&leadership.server);
+        if unanswered > self.bounds.server_missed_after() {
+            self.revoke_leases(&group.name, &format!("{} does not answer", leadership.server));
+            self.fail_over(group, &leadership.server).await;
             return;
         }
-        let told = self.servers.borrow().get(&st.server).cloned();
-        let away = told.is_none_or(|t| t.draining || t.left || image.evacuated_zones.contains(&t.area));
-        let wish = st.wish.clone().filter(|w| *w != st.server && g.servers.contains(w));
-        if away || wish.is_some() {
-            self.hand_over(g, image, &st.server, wish).await;
+        let record = self.servers.borrow().get(&leadership.server).cloned();
+        let must_hand_over = record.is_none_or(|record| {
+            record.draining || record.deregistered || image.evacuated_zones.contains(&record.zone)
+        });
+        let requested = leadership
+            .requested_primary
+            .clone()
+            .filter(|requested| *requested != leadership.server && group.servers.contains(requested));
+        if must_hand_over || requested.is_some() {
+            self.hand_over(group, image, &leadership.server, requested).await;
             return;
         }
-        let leads = prim.as_ref().map_or(st.proven, |p| p.name == st.server);
-        let granting = leads && silent < self.bounds.server_missed_after() / 2;
-        if granting != st.granting {
-            self.edit(&g.name, |s| {
-                s.granting = granting;
-                s.proven = granting;
-                s.closed = false;
+        let is_primary = observed.as_ref().map_or(leadership.proven, |primary| primary.name == leadership.server);
+        let granting = is_primary && unanswered < self.bounds.server_missed_after() / 2;
+        if granting != leadership.granting {
+            self.update_group(&group.name, |state| {
+                state.granting = granting;
+                state.proven = granting;
+                state.ignore_reported_leases = false;
             });
-            self.log(Component::Elect, format!("{} {}", st.server, if granting { "is seen" } else { "is missed" }));
+            self.log(
+                Component::Elect,
+                format!("{} {}", leadership.server, if granting { "is seen" } else { "is missed" }),
+            );
             self.relay.request_heartbeats();
         }
-        if leads && !st.unclear {
-            self.free_held(g, &st.server);
+        if is_primary && !leadership.promotion_outcome_unknown {
+            self.resume_suspended(group, &leadership.server);
         }
-        self.watch_confirming_reach(g, image, &st);
+        self.check_confirming_reachability(group, image, &leadership);
     }
 
     /// Frees servers that an election kept from receiving which was given up, as the leader is back.
-    fn free_held(&self, g: &Group, leader: &str) {
-        let is_held = |s: &&String| {
-            let talks = self.talks.borrow();
-            let talk = talks.get(*s);
-            talk.is_some_and(|t| t.held.is_some() || matches!(t.order, Some(StatementKind::SuspendReplication { .. })))
+    fn resume_suspended(&self, group: &Group, primary: &str) {
+        let is_suspended = |server: &&String| {
+            let server_statuses = self.server_statuses.borrow();
+            let status = server_statuses.get(*server);
+            status.is_some_and(|status| {
+                status.suspended_status.is_some()
+                    || matches!(status.pending_order, Some(StatementKind::SuspendReplication { .. }))
+            })
         };
-        let others = g.servers.iter().filter(|s| *s != leader);
-        let held: Vec<String> = others.filter(is_held).cloned().collect();
-        self.free_all(&held);
+        let others = group.servers.iter().filter(|server| *server != primary);
+        let suspended: Vec<String> = others.filter(is_suspended).cloned().collect();
+        self.resume_all(&suspended);
     }
 
     /// A leader that some nodes can't reach, while another fit server is in sight of more, is to hand over to that one.
-    fn watch_confirming_reach(&self, g: &Group, image: &Image, st: &super::GroupLeadership) {
+    fn check_confirming_reachability(&self, group: &Group, image: &Image, leadership: &super::GroupLeadership) {
         let now = self.env.now();
-        let fresh = now.saturating_sub(self.bounds.node_heartbeat() * 4);
-        let blind = |s: &str| {
-            let seats = self.seats.borrow();
-            let late = self.bounds.server_missed_after().as_millis() as u64 * 2 / 3;
-            let miss = |x: &super::NodeRecord| x.sights.get(s).is_some_and(|y| y.age > late || y.refused);
-            seats.values().filter(|x| !x.hub && x.heard > fresh && miss(x)).count()
+        let recent = now.saturating_sub(self.bounds.node_heartbeat() * 4);
+        let nodes_without_path = |server: &str| {
+            let nodes = self.nodes.borrow();
+            let max_age_ms = self.bounds.server_missed_after().as_millis() as u64 * 2 / 3;
+            let misses = |node: &super::NodeRecord| {
+                node.observations
+                    .get(server)
+                    .is_some_and(|observation| observation.age > max_age_ms || observation.refused)
+            };
+            nodes.values().filter(|node| !node.is_control_node && node.last_heartbeat > recent && misses(node)).count()
         };
-        let own = blind(&st.server);
-        let rows = if own == 0 { Vec::new() } else { self.sighted(g, image, fresh) };
-        let other = rows.iter().filter(|r| r.fit && r.name != st.server).map(|r| (blind(&r.name), r));
-        let Some((_, other)) = other.min_by_key(|x| x.0).filter(|x| x.0 < own) else {
-            return self.edit(&g.name, |s| s.dim = None);
+        let primary_count = nodes_without_path(&leadership.server);
+        let statuses = if primary_count == 0 { Vec::new() } else { self.statuses_since(group, image, recent) };
+        let successor = statuses
+            .iter()
+            .filter(|status| status.eligible && status.name != leadership.server)
+            .map(|status| (nodes_without_path(&status.name), status));
+        let Some((_, successor)) =
+            successor.min_by_key(|successor| successor.0).filter(|successor| successor.0 < primary_count)
+        else {
+            return self.update_group(&group.name, |state| state.less_reachable_since = None);
         };
-        let since = st.dim.unwrap_or(now);
+        let less_reachable_since = leadership.less_reachable_since.unwrap_or(now);
         // A single node's word may be chance.
-        let long = if own > 1 { self.bounds.server_missed_after() / 2 } else { self.bounds.server_missed_after() * 2 };
-        let ripe = now - since > long && now - st.since > self.bounds.server_gone_after() * 2;
-        self.edit(&g.name, |s| s.dim = Some(since));
-        if ripe {
+        let required_duration = if primary_count > 1 {
+            self.bounds.server_missed_after() / 2
+        } else {
+            self.bounds.server_missed_after() * 2
+        };
+        let hand_over = now - less_reachable_since > required_duration
+            && now - leadership.proven_since > self.bounds.server_gone_after() * 2;
+        self.update_group(&group.name, |state| state.less_reachable_since = Some(less_reachable_since));
+        if hand_over {
             self.log(
                 Component::Elect,
-                format!("{own} nodes can't reach {}; {} is in sight of more", st.server, other.name),
+                format!(
+                    "{primary_count} nodes can't reach {}; {} is in sight of more",
+                    leadership.server, successor.name
+                ),
             );
-            self.edit(&g.name, |s| {
-                s.dim = None;
-                s.wish = Some(other.name.clone());
+            self.update_group(&group.name, |state| {
+                state.less_reachable_since = None;
+                state.requested_primary = Some(successor.name.clone());
             });
         }
     }
 
     /// Writes down who leads before any grant for it is given: whoever leads the hubs later and sees that same server
     /// lead on that line knows that no grant for another can be out.
-    async fn write_down(&self, g: &Group, p: &PrimarySight) -> bool {
-        let before = self.consensus.image().and_then(|i| i.election(&g.name).cloned());
-        let (index, from) = (p.place.index, p.place.epoch);
-        let put = Election {
-            group: g.name.clone(),
-            epoch: p.line,
-            server: p.name.clone(),
+    async fn record_primary(&self, group: &Group, primary: &ConfirmingServer) -> bool {
+        let recorded = self.consensus.image().and_then(|i| i.election(&group.name).cloned());
+        let (index, from) = (primary.position.index, primary.position.epoch);
+        let election = Election {
+            group: group.name.clone(),
+            epoch: primary.epoch,
+            server: primary.name.clone(),
             start_epoch: from,
             start_index: index,
         };
-        self.write_elect(put, before).await
+        self.write_election(election, recorded).await
     }
 
     /// Grants for a server that was seen leading, once no grant for another can stand.
-    async fn adopt_primary(&self, g: &Group, image: &Image, p: &PrimarySight, st: &super::GroupLeadership) {
-        if st.granting {
-            self.withdraw(&g.name, &format!("{} leads on line {}", p.name, p.line));
-        }
-        let noted = image.election(&g.name).cloned();
+    async fn adopt_primary(
+        &self,
+        group: &Group,
+        image: &Image,
+        primary: &ConfirmingServer,
+        leadership: &super::GroupLeadership,
+    ) {
+        if leadership.granting {
+            self.revoke_leases(&group.name, &format!("{} leads on line {}", primary.name, primary.epoch));
+        }
+        let recorded = image.election(&group.name).cloned();
         // Nothing was ever granted for a group of which nothing is written down.
-        let known = noted.as_ref().is_none_or(|e| e.server == p.name && e.epoch == p.line);
-        let out = || self.leases.borrow().primary_handed_back(&g.name, self.env.now(), known) || self.disabled.no_wait;
+        let same_primary =
+            recorded.as_ref().is_none_or(|election| election.server == primary.name && election.epoch == primary.epoch);
+        let leases_released = || {
+            self.leases.borrow().primary_released(&group.name, self.env.now(), same_primary) || self.disabled.no_wait
+        };
         for _ in 0..20 {
-            if out() {
+            if leases_released() {
                 break;
             }
             self.env.sleep(self.bounds.control_heartbeat() / 20).await;
         }
-        if !out() || !self.consensus.leads() {
+        if !leases_released() || !self.consensus.leads() {
             return;
         }
-        if noted.is_none_or(|e| e.server != p.name || e.epoch != p.line) && !self.write_down(g, p).await {
+        if recorded.is_none_or(|election| election.server != primary.name || election.epoch != primary.epoch)
+            && !self.record_primary(group, primary).await
+        {
             return;
         }
         let now = self.env.now();
-        self.log(Component::Elect, format!("{} leads {} on line {}", p.name, g.name, p.line));
-        self.edit(&g.name, |s| {
-            s.server.clone_from(&p.name);
-            s.line = p.line;
-            s.granting = true;
-            s.proven = true;
-            s.closed = false;
-            s.since = now;
-            s.wish = None;
-            s.dim = None;
+        self.log(Component::Elect, format!("{} leads {} on line {}", primary.name, group.name, primary.epoch));
+        self.update_group(&group.name, |state| {
+            state.server.clone_from(&primary.name);
+            state.epoch = primary.epoch;
+            state.granting = true;
+            state.proven = true;
+            state.ignore_reported_leases = false;
+            state.proven_since = now;
+            state.requested_primary = None;
+            state.less_reachable_since = None;
         });
         // Whoever was kept from receiving for this election receives again.
-        let others = g.servers.iter().filter(|s| **s != p.name);
-        others.for_each(|s| self.order(s, StatementKind::ResumeReplication));
+        let others = group.servers.iter().filter(|server| **server != primary.name);
+        others.for_each(|server| self.queue_order(server, StatementKind::ResumeReplication));
         self.relay.request_heartbeats();
-        self.bell.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Once a term: the platform hears of this holder by naming the one that leads anyway, so that a call of an earlier
     /// holder that is still under way no longer counts; after a while, servers that one kept from receiving are freed.
-    async fn fence(&self, g: &Group, p: &PrimarySight, st: &super::GroupLeadership) {
+    async fn fence_earlier_leader(
+        &self,
+        group: &Group,
+        primary: &ConfirmingServer,
+        leadership: &super::GroupLeadership,
+    ) {
         let now = self.env.now();
-        match st.fenced {
+        match leadership.fenced_at {
             // The first term of all has no earlier holder.
-            None if self.consensus.term().0 <= 1 => self.edit(&g.name, |s| {
-                s.fenced = Some(now);
-                s.freed = true;
+            None if self.consensus.term().0 <= 1 => self.update_group(&group.name, |state| {
+                state.fenced_at = Some(now);
+                state.replicas_resumed = true;
             }),
-            None if self.duty_rests() => {}
+            None if self.in_promoter_change_pause() => {}
             None => {
-                let code = self.promote(g, &p.name).await;
-                if code == Some(200) {
-                    self.edit(&g.name, |s| s.fenced = Some(self.env.now()));
+                let status = self.promote(group, &primary.name).await;
+                if status == Some(200) {
+                    self.update_group(&group.name, |state| state.fenced_at = Some(self.env.now()));
                 }
             }
-            Some(t) if !st.freed && now > t + self.bounds.lease_duration() => {
-                g.servers
+            Some(fenced_at) if !leadership.replicas_resumed && now > fenced_at + self.bounds.lease_duration() => {
+                group
+                    .servers
                     .iter()
-                    .filter(|s| **s != p.name)
-                    .for_each(|s| self.order(s, StatementKind::ResumeReplication));
-                self.edit(&g.name, |s| s.freed = true);
+                    .filter(|server| **server != primary.name)
+                    .for_each(|server| self.queue_order(server, StatementKind::ResumeReplication));
+                self.update_group(&group.name, |state| state.replicas_resumed = true);
             }
             Some(_) => {}
         }
     }
 
     /// Whether an earlier holder of the duty that is still well may have used it a moment ago.
-    fn duty_rests(&self) -> bool {
+    fn in_promoter_change_pause(&self) -> bool {
         let (_, since) = self.consensus.term();
-        !self.disabled.no_duty_rest && self.env.now() < since + DUTY_REST && self.consensus.earlier_leader_alive()
+        !self.disabled.no_duty_rest
+            && self.env.now() < since + PROMOTER_CHANGE_PAUSE
+            && self.consensus.earlier_leader_alive()
     }
 
     /// Gives an order to a server, to be carried out on this hub's connection to it.
-    fn order(&self, server: &str, act: StatementKind) {
-        let mut all = self.talks.borrow_mut();
-        let t = all.entry(server.into()).or_default();
-        t.order = Some(act);
-        t.held = None;
-        drop(all);
-        self.bell.notify_waiters();
+    fn queue_order(&self, server: &str, kind: StatementKind) {
+        let mut server_statuses = self.server_statuses.borrow_mut();
+        let status = server_statuses.entry(server.into()).or_default();
+        status.pending_order = Some(kind);
+        status.suspended_status = None;
+        drop(server_statuses);
+        self.state_changed.notify_waiters();
     }
 
     /// A number that rises with the term and with each naming of another server in it: a call whose answer was lost may
     /// still come after a later one, and is then refused.
     fn fencing_token(&self, group: &str, server: &str) -> u64 {
-        let mut all = self.namings.borrow_mut();
-        let (count, last) = all.entry(group.into()).or_default();
+        let mut promotion_counts = self.promotion_counts.borrow_mut();
+        let (count, last) = promotion_counts.entry(group.into()).or_default();
         if last != server && !self.disabled.one_fence {
             *count += 1;
             *last = server.into();
         }
-        self.term.get() << NAMING_BITS | *count
+        self.term.get() << PROMOTION_COUNT_BITS | *count
     }
 
     /// Calls the platform; the answer's code.
-    async fn promote(&self, g: &Group, server: &str) -> Option<u16> {
-        let (addr, manner) = (self.platform.get()?, self.manner.clone()?);
-        let naming = Promotion {
-            group: g.name.clone(),
+    async fn promote(&self, group: &Group, server: &str) -> Option<u16> {
+        let (address, protocol) = (self.platform_address.get()?, self.server_protocol.clone()?);
+        let promotion = Promotion {
+            group: group.name.clone(),
             server: server.into(),
             holder: self.relay.identity.name.clone(),
-            fencing_token: self.fencing_token(&g.name, server),
+            fencing_token: self.fencing_token(&group.name, server),
         };
-        let out = manner.promote(&self.env, addr, &naming, self.bounds.call_timeout()).await;
-        match out {
+        let result = protocol.promote(&self.env, address, &promotion, self.bounds.call_timeout()).await;
+        match result {
             Ok(200) => Some(200),
-            Ok(code) => {
+            Ok(status) => {
                 // Only a refusal is sure not to be carried out.
-                self.edit(&g.name, |s| s.unclear |= code >= 500);
-                self.log(Component::Elect, format!("the platform answered {code} to naming {server}"));
-                Some(code)
+                self.update_group(&group.name, |state| state.promotion_outcome_unknown |= status >= 500);
+                self.log(Component::Elect, format!("the platform answered {status} to naming {server}"));
+                Some(status)
             }
-            Err(e) => {
-                self.edit(&g.name, |s| s.unclear = true);
-                self.log(Component::Elect, format!("the call naming {server} failed: {e}"));
+            Err(error) => {
+                self.update_group(&group.name, |state| state.promotion_outcome_unknown = true);
+                self.log(Component::Elect, format!("the call naming {server} failed: {error}"));
                 None
             }
         }
     }
 
     /// Waits until each of these servers has shown that it receives nothing more; the newest place among them.
-    async fn hold_all(&self, names: &[String], line: u64, span: Duration) -> Option<Position> {
-        names.iter().for_each(|s| self.order(s, StatementKind::SuspendReplication { line }));
-        self.urgent.set(self.env.now() + span);
-        let all = self.bell.wait_until(|| {
-            let talks = self.talks.borrow();
-            let rows: Vec<_> = names.iter().filter_map(|s| talks.get(s)?.held).collect();
-            (rows.len() == names.len()).then(|| rows.iter().map(|r| r.position).max().unwrap_or_default())
+    async fn suspend_all(&self, names: &[String], epoch: u64, timeout: Duration) -> Option<Position> {
+        names.iter().for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
+        self.urgent_until.set(self.env.now() + timeout);
+        let all_suspended = self.state_changed.wait_until(|| {
+            let server_statuses = self.server_statuses.borrow();
+            let suspended: Vec<_> =
+                names.iter().filter_map(|server| server_statuses.get(server)?.suspended_status).collect();
+            (suspended.len() == names.len())
+                .then(|| suspended.iter().map(|status| status.position).max().unwrap_or_default())
         });
-        self.env.timeout(span, all).await.ok()
+        self.env.timeout(timeout, all_suspended).await.ok()
     }
 
-    fn free_all(&self, names: &[String]) {
-        names.iter().for_each(|s| self.order(s, StatementKind::ResumeReplication));
+    fn resume_all(&self, names: &[String]) {
+        names.iter().for_each(|server| self.queue_order(server, StatementKind::ResumeReplication));
     }
 
-    fn newest(&self, g: &Group) -> u64 {
-        let talks = self.talks.borrow();
-        let lines = g.servers.iter().filter_map(|s| Some(talks.get(s)?.row?.1.epoch));
-        lines.max().unwrap_or(0).max(self.stand(&g.name).line)
+    fn highest_epoch(&self, group: &Group) -> u64 {
+        let server_statuses = self.server_statuses.borrow();
+        let epochs = group.servers.iter().filter_map(|server| Some(server_statuses.get(server)?.last_status?.1.epoch));
+        epochs.max().unwrap_or(0).max(self.leadership_of(&group.name).epoch)
     }
 
     /// Elects after the leader was lost: all others are kept from receiving and read, and the furthest is named.
-    async fn fail_over(&self, g: &Group, lost: &str) {
-        if self.duty_rests() {
+    async fn fail_over(&self, group: &Group, lost: &str) {
+        if self.in_promoter_change_pause() {
             return;
         }
-        let others: Vec<String> = g.servers.iter().filter(|s| *s != lost).cloned().collect();
-        let need = if lost.is_empty() { others.len().saturating_sub(1) } else { others.len() };
-        if others.is_empty() || need == 0 {
+        let others: Vec<String> = group.servers.iter().filter(|server| *server != lost).cloned().collect();
+        let required = if lost.is_empty() { others.len().saturating_sub(1) } else { others.len() };
+        if others.is_empty() || required == 0 {
             return;
         }
-        if !self.list_stands(g) {
+        if !self.is_membership_settled(group) {
             // A leader that crashed comes back with its log: waiting is safe.
-            return self.wait_for_list(&g.name);
+            return self.wait_for_membership(&group.name);
         }
-        self.edit(&g.name, |s| s.waits_for_list = false);
-        let line = self.newest(g) + 1;
-        self.log(Component::Elect, format!("new leader needed for {}", g.name));
+        self.update_group(&group.name, |state| state.waits_for_membership = false);
+        let epoch = self.highest_epoch(group) + 1;
+        self.log(Component::Elect, format!("new leader needed for {}", group.name));
         if self.disabled.no_hold {
-            let alive = |s: &&String| self.talks.borrow().get(*s).is_some_and(|t| t.open.is_none());
-            let some = others.iter().find(alive).cloned();
-            if let Some(s) = some {
-                self.promote(g, &s).await;
-                self.await_leader(g, &s, line).await;
+            let is_responding = |server: &&String| {
+                self.server_statuses.borrow().get(*server).is_some_and(|status| status.unanswered_since.is_none())
+            };
+            let candidate = others.iter().find(is_responding).cloned();
+            if let Some(server) = candidate {
+                self.promote(group, &server).await;
+                self.await_primary(group, &server, epoch).await;
             }
             return;
         }
         if lost.is_empty() {
             // Nobody is known to have led: all but one must answer.
-            others.iter().for_each(|s| self.order(s, StatementKind::SuspendReplication { line }));
-            self.urgent.set(self.env.now() + self.bounds.server_gone_after());
+            others
+                .iter()
+                .for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
+            self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
             self.env.sleep(self.bounds.server_gone_after()).await;
-            let held = others.iter().filter(|s| self.talks.borrow().get(*s).is_some_and(|t| t.held.is_some())).count();
-            if held < need {
-                return self.free_all(&others);
+            let suspended = others
+                .iter()
+                .filter(|server| {
+                    self.server_statuses.borrow().get(*server).is_some_and(|status| status.suspended_status.is_some())
+                })
+                .count();
+            if suspended < required {
+                return self.resume_all(&others);
             }
-        } else if self.hold_all(&others, line, self.bounds.server_gone_after()).await.is_none() {
-            let missing = others.iter().filter(|s| self.talks.borrow().get(*s).is_none_or(|t| t.held.is_none()));
+        } else if self.suspend_all(&others, epoch, self.bounds.server_gone_after()).await.is_none() {
+            let missing = others.iter().filter(|server| {
+                self.server_statuses.borrow().get(*server).is_none_or(|status| status.suspended_status.is_none())
+            });
             let missing: Vec<_> = missing.cloned().collect();
-            self.log(Component::Elect, format!("{} can't be read; no leader for {} yet", missing.join(" "), g.name));
-            if self.silent(lost) < self.bounds.server_missed_after() {
-                self.free_all(&others);
+            self.log(
+                Component::Elect,
+                format!("{} can't be read; no leader for {} yet", missing.join(" "), group.name),
+            );
+            if self.unanswered_for(lost) < self.bounds.server_missed_after() {
+                self.resume_all(&others);
             }
             return;
         }
         if !self.consensus.leads() {
             return;
         }
-        if self.silent(lost) < self.bounds.server_missed_after() && !lost.is_empty() {
+        if self.unanswered_for(lost) < self.bounds.server_missed_after() && !lost.is_empty() {
             self.log(Component::Elect, format!("{lost} answers again"));
-            return self.free_all(&others);
+            return self.resume_all(&others);
         }
-        if !self.list_stands(g) {
+        if !self.is_membership_settled(group) {
             // Whoever came meanwhile is to be kept from receiving and read too.
-            return self.log(Component::Elect, format!("the servers of {} changed; its election begins anew", g.name));
+            return self
+                .log(Component::Elect, format!("the servers of {} changed; its election begins anew", group.name));
         }
         let best = {
-            let talks = self.talks.borrow();
-            let told = self.servers.borrow();
+            let server_statuses = self.server_statuses.borrow();
+            let servers = self.servers.borrow();
             let image = self.consensus.image();
-            let rows = others.iter().filter_map(|s| Some((s.clone(), talks.get(s)?.held?)));
-            let fit = |s: &String| {
-                let out = |a: &String| image.as_ref().is_some_and(|i| i.evacuated_zones.contains(a));
-                told.get(s).is_some_and(|t| !t.draining && !t.gone && !out(&t.area))
+            let suspended_servers = others
+                .iter()
+                .filter_map(|server| Some((server.clone(), server_statuses.get(server)?.suspended_status?)));
+            let eligible = |server: &String| {
+                let evacuated =
+                    |zone: &String| image.as_ref().is_some_and(|image| image.evacuated_zones.contains(zone));
+                servers.get(server).is_some_and(|record| !record.draining && !record.gone && !evacuated(&record.zone))
             };
-            rows.max_by_key(|(s, r)| (r.position, fit(s))).map(|x| x.0)
+            suspended_servers
+                .max_by_key(|(server, status)| (status.position, eligible(server)))
+                .map(|(server, _)| server)
         };
         let Some(best) = best else { return };
-        self.log(Component::Elect, format!("naming {best} for {}", g.name));
-        if self.promote(g, &best).await != Some(200) {
+        self.log(Component::Elect, format!("naming {best} for {}", group.name));
+        if self.promote(group, &best).await != Some(200) {
             return;
         }
-        self.await_leader(g, &best, line).await;
+        self.await_primary(group, &best, epoch).await;
     }
 
     /// Notes that an election waits until the list of a group's servers is complete.
-    fn wait_for_list(&self, group: &str) {
-        if !self.stand(group).waits_for_list {
+    fn wait_for_membership(&self, group: &str) {
+        if !self.leadership_of(group).waits_for_membership {
             self.log(Component::Elect, format!("{group}: a server may not be listed yet; no election"));
         }
-        self.edit(group, |s| s.waits_for_list = true);
+        self.update_group(group, |state| state.waits_for_membership = true);
     }
 
     /// Waits for the named server to be seen leading.
-    async fn await_leader(&self, g: &Group, server: &str, line: u64) -> bool {
-        let span = self.bounds.server_gone_after();
-        self.urgent.set(self.env.now() + span);
-        let leads = |s: &str| {
-            let talks = self.talks.borrow();
-            talks.get(s).and_then(|t| t.row).is_some_and(|(_, r)| r.is_primary && r.epoch >= line)
+    async fn await_primary(&self, group: &Group, server: &str, epoch: u64) -> bool {
+        let timeout = self.bounds.server_gone_after();
+        self.urgent_until.set(self.env.now() + timeout);
+        let is_primary = |name: &str| {
+            let server_statuses = self.server_statuses.borrow();
+            server_statuses
+                .get(name)
+                .and_then(|status| status.last_status)
+                .is_some_and(|(_, status)| status.is_primary && status.epoch >= epoch)
         };
-        let wait = self.bell.wait_until(|| leads(server).then_some(()));
-        let out = self.env.timeout(span, wait).await.is_ok();
-        if !out {
-            self.log(Component::Elect, format!("{server} does not lead {} yet", g.name));
+        let wait = self.state_changed.wait_until(|| is_primary(server).then_some(()));
+        let became_primary = self.env.timeout(timeout, wait).await.is_ok();
+        if !became_primary {
+            self.log(Component::Elect, format!("{server} does not lead {} yet", group.name));
         }
-        out
+        became_primary
     }
 
     /// Hands over from a primary that answers to the one that is furthest and fit.
-    async fn hand_over(&self, g: &Group, image: &Image, from: &str, wish: Option<String>) {
-        if self.duty_rests() {
+    async fn hand_over(&self, group: &Group, image: &Image, from: &str, requested: Option<String>) {
+        if self.in_promoter_change_pause() {
             return;
         }
-        let rows = self.sighted(g, image, self.env.now().saturating_sub(self.bounds.server_missed_after()));
-        let next = rows
+        let statuses =
+            self.statuses_since(group, image, self.env.now().saturating_sub(self.bounds.server_missed_after()));
+        let next = statuses
             .iter()
-            .filter(|r| r.fit && r.name != from && wish.as_ref().is_none_or(|w| *w == r.name))
-            .max_by_key(|r| (r.place, std::cmp::Reverse(r.cold)));
+            .filter(|status| {
+                status.eligible
+                    && status.name != from
+                    && requested.as_ref().is_none_or(|requested| *requested == status.name)
+            })
+            .max_by_key(|status| (status.position, std::cmp::Reverse(status.cold_step)));
         let Some(next) = next else { return };
-        let line = self.newest(g) + 1;
-        self.log(Component::Elect, format!("{from} is to hand {} over to {}", g.name, next.name));
-        self.hand_down(g, from, &next.name, line).await;
+        let epoch = self.highest_epoch(group) + 1;
+        self.log(Component::Elect, format!("{from} is to hand {} over to {}", group.name, next.name));
+        self.transfer_primary(group, from, &next.name, epoch).await;
     }
 
     /// The old primary is told to follow, so that it confirms nothing more, and what it holds then is what the next one must
     /// hold; else it is named again. No list of servers is relied on: one that is coming may receive already and has not
     /// made itself known.
-    async fn hand_down(&self, g: &Group, from: &str, next: &str, line: u64) {
-        self.edit(&g.name, |s| s.wish = None);
+    async fn transfer_primary(&self, group: &Group, from: &str, next: &str, epoch: u64) {
+        self.update_group(&group.name, |state| state.requested_primary = None);
         if self.disabled.any_list {
             // Tests see what becomes of commits that a server on no list confirms.
-            self.promote(g, next).await;
-            self.await_leader(g, next, line).await;
+            self.promote(group, next).await;
+            self.await_primary(group, next, epoch).await;
             return;
         }
-        self.order(from, StatementKind::StepDown { line });
-        self.urgent.set(self.env.now() + self.bounds.server_gone_after());
-        let row = |s: &str| self.talks.borrow().get(s).and_then(|t| t.held);
-        let wait = self.bell.wait_until(|| row(from));
-        let Ok(last) = self.env.timeout(self.bounds.server_missed_after(), wait).await else {
+        self.queue_order(from, StatementKind::StepDown { line: epoch });
+        self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
+        let suspended_status =
+            |name: &str| self.server_statuses.borrow().get(name).and_then(|status| status.suspended_status);
+        let wait = self.state_changed.wait_until(|| suspended_status(from));
+        let Ok(final_status) = self.env.timeout(self.bounds.server_missed_after(), wait).await else {
             self.log(Component::Elect, format!("{from} can't be told to follow"));
             // The order must not be carried out later on.
-            return self.with_order_off(from);
+            return self.cancel_order(from);
         };
-        let there = || {
-            let talks = self.talks.borrow();
-            talks.get(next).and_then(|t| t.row).is_some_and(|(_, r)| r.position >= last.position)
+        let has_caught_up = || {
+            let server_statuses = self.server_statuses.borrow();
+            server_statuses
+                .get(next)
+                .and_then(|status| status.last_status)
+                .is_some_and(|(_, status)| status.position >= final_status.position)
         };
-        let wait = self.bell.wait_until(|| there().then_some(()));
-        let met = self.env.timeout(self.bounds.server_missed_after() / 2, wait).await.is_ok();
-        let name = if met { next } else { from };
-        self.log(Component::Elect, format!("{from} follows; naming {name} for {}", g.name));
-        if self.promote(g, name).await == Some(200) {
-            self.await_leader(g, name, line).await;
+        let wait = self.state_changed.wait_until(|| has_caught_up().then_some(()));
+        let caught_up = self.env.timeout(self.bounds.server_missed_after() / 2, wait).await.is_ok();
+        let name = if caught_up { next } else { from };
+        self.log(Component::Elect, format!("{from} follows; naming {name} for {}", group.name));
+        if self.promote(group, name).await == Some(200) {
+            self.await_primary(group, name, epoch).await;
         }
     }
 
-    fn with_order_off(&self, server: &str) {
-        if let Some(t) = self.talks.borrow_mut().get_mut(server) {
-            t.order = None;
+    fn cancel_order(&self, server: &str) {
+        if let Some(status) = self.server_statuses.borrow_mut().get_mut(server) {
+            status.pending_order = None;
         }
     }
 }
--- a/hub/src/leadership/log_membership.rs
+++ b/hub/src/leadership/log_membership.rs
@@ -3,19 +3,19 @@
 use base::{ErrorKind, position::Position, runtime::Component};
 use wire::{Election, Group, Image, ServerLog};
 
-use super::{Leadership, readings::LogReading};
+use super::{Leadership, sampling::LogSample};
 
 /// What this hub saw of a server's log since it first met it.
 #[derive(Clone, Copy, Debug)]
 pub struct LogRecord {
     /// The log's identity.
-    born: u64,
+    log_id: u64,
     /// Since when this log is known, or known to have lost something.
     since: Duration,
     /// The turn of the entry that it lost something of.
-    back: Option<u64>,
+    lost_since_admission: Option<u64>,
     /// The head it has to reach, read after `since`.
-    goal: Option<Position>,
+    target: Option<Position>,
 }
 
 /// How a group's membership stands.
@@ -23,133 +23,160 @@
 pub struct MembershipPhase {
     /// When this hub first knew of the present set of voters and leavers.
     since: Duration,
-    sum: u64,
+    checksum: u64,
     /// The head that must be held by those who stay.
-    goal: Option<Position>,
+    target: Option<Position>,
 }
 
-fn sum(image: &Image, g: &Group) -> u64 {
-    let mut all = crc32fast::Hasher::new();
-    image.voters(g).for_each(|l| all.update(l.server.as_bytes()));
-    g.leaving_servers.iter().for_each(|l| all.update(l.as_bytes()));
-    u64::from(all.finalize()) | 1 << 32
+fn membership_checksum(image: &Image, group: &Group) -> u64 {
+    let mut hasher = crc32fast::Hasher::new();
+    image.voters(group).for_each(|log| hasher.update(log.server.as_bytes()));
+    group.leaving_servers.iter().for_each(|server| hasher.update(server.as_bytes()));
+    u64::from(hasher.finalize()) | 1 << 32
 }
 
 impl Leadership {
     /// Takes in a reading; a place that went back, or another log, is noted before the reading counts.
-    pub(super) fn seen_now(&self, server: &str, new: LogReading) {
+    pub(super) fn record_sample(&self, server: &str, sample: LogSample) {
         let image = self.consensus.image();
-        let entry = image.as_ref().and_then(|i| i.log(server).cloned());
-        let line = image
+        let entry = image.as_ref().and_then(|image| image.log(server).cloned());
+        let elected = image
             .as_ref()
-            .and_then(|i| i.election(&i.group_including_leaving(server)?.name))
-            .map(|e| (e.epoch, e.start_position()));
-        let (line, from) = line.unwrap_or_default();
-        let old = self.seen.borrow().get(server).copied();
-        let lost = old.is_some_and(|o| o.log == new.log && o.place.has_lost_entries(new.place, line, from));
+            .and_then(|image| image.election(&image.group_including_leaving(server)?.name))
+            .map(|election| (election.epoch, election.start_position()));
+        let (elected, start) = elected.unwrap_or_default();
+        let previous = self.log_samples.borrow().get(server).copied();
+        let lost = previous.is_some_and(|previous| {
+            previous.log_id == sample.log_id && previous.position.has_lost_entries(sample.position, elected, start)
+        });
         {
-            let mut rolls = self.rolls.borrow_mut();
-            let fresh = LogRecord { born: new.log, since: new.at, back: None, goal: None };
-            let roll = rolls.entry(server.into()).or_insert(fresh);
-            if roll.born != new.log {
-                *roll = fresh;
+            let mut records = self.log_records.borrow_mut();
+            let new_record = LogRecord {
+                log_id: sample.log_id,
+                since: sample.received_at,
+                lost_since_admission: None,
+                target: None,
+            };
+            let record = records.entry(server.into()).or_insert(new_record);
+            if record.log_id != sample.log_id {
+                *record = new_record;
             }
             if lost {
-                roll.since = new.at;
-                roll.goal = None;
-                roll.back = Some(entry.map_or(0, |e| e.admission));
-                self.log(Component::Elect, format!("{server} went back to {} in its log", new.place));
+                record.since = sample.received_at;
+                record.target = None;
+                record.lost_since_admission = Some(entry.map_or(0, |log| log.admission));
+                self.log(Component::Elect, format!("{server} went back to {} in its log", sample.position));
             }
         }
-        self.seen.borrow_mut().insert(server.into(), new);
+        self.log_samples.borrow_mut().insert(server.into(), sample);
     }
 
     /// A node tells that a log lost something after it was taken in at this turn.
-    pub(super) fn back_told(&self, image: &Image, server: &str, turn: u64) {
-        if image.log(server).is_some_and(|l| l.admission == turn && !l.incomplete)
-            && let Some(r) = self.rolls.borrow_mut().get_mut(server)
-            && r.back != Some(turn)
+    pub(super) fn record_lost_entries(&self, image: &Image, server: &str, admission: u64) {
+        if image.log(server).is_some_and(|log| log.admission == admission && !log.incomplete)
+            && let Some(record) = self.log_records.borrow_mut().get_mut(server)
+            && record.lost_since_admission != Some(admission)
         {
-            *r = LogRecord { since: self.env.now(), back: Some(turn), goal: None, ..*r };
+            *record =
+                LogRecord { since: self.env.now(), lost_since_admission: Some(admission), target: None, ..*record };
         }
     }
 
     /// Whether what a server shows counts towards a quorum.
-    pub(super) fn counts(&self, image: &Image, server: &str) -> bool {
+    pub(super) fn counts_towards_quorum(&self, image: &Image, server: &str) -> bool {
         if self.disabled.no_roll {
             return true;
         }
-        let Some(l) = image.log(server) else { return false };
-        let seen = self.seen.borrow().get(server).is_some_and(|s| s.log == l.log_id);
-        let back = self.rolls.borrow().get(server).is_some_and(|r| r.back.is_some_and(|t| t >= l.admission));
-        seen && !l.incomplete && !back
+        let Some(log) = image.log(server) else { return false };
+        let same_log = self.log_samples.borrow().get(server).is_some_and(|sample| sample.log_id == log.log_id);
+        let lost =
+            self.log_records.borrow().get(server).is_some_and(|record| {
+                record.lost_since_admission.is_some_and(|lost_since| lost_since >= log.admission)
+            });
+        same_log && !log.incomplete && !lost
     }
 
     /// Whether a leader shows that it is not the log that was elected any more.
-    pub(super) fn leader_lost(&self, image: &Image, server: &str) -> bool {
-        self.seen.borrow().contains_key(server) && image.log(server).is_some() && !self.counts(image, server)
+    pub(super) fn primary_lost_entries(&self, image: &Image, server: &str) -> bool {
+        self.log_samples.borrow().contains_key(server)
+            && image.log(server).is_some()
+            && !self.counts_towards_quorum(image, server)
     }
 
     /// How many counted logs of a group must be read for an election: all but one of those that quorums are counted
     /// from, and all while nodes may still act on another set of them.
-    pub(super) fn need(&self, image: &Image, g: &Group) -> usize {
-        let all = image.voters(g).count();
-        let all = if all == 0 { g.servers.len() } else { all };
-        let settled = self.phases.borrow().get(&g.name).is_some_and(|p| self.env.now() > p.since + self.turned());
-        if all == 2 && !settled { 2 } else { all.saturating_sub(1).max(1) }
+    pub(super) fn required_logs(&self, image: &Image, group: &Group) -> usize {
+        let count = image.voters(group).count();
+        let count = if count == 0 { group.servers.len() } else { count };
+        let settled = self
+            .membership_phases
+            .borrow()
+            .get(&group.name)
+            .is_some_and(|phase| self.env.now() > phase.since + self.configuration_settle_time());
+        if count == 2 && !settled { 2 } else { count.saturating_sub(1).max(1) }
     }
 
     /// After how long no node acts on the set before any more: a node that is not confirmed stops sooner.
-    fn turned(&self) -> Duration {
+    fn configuration_settle_time(&self) -> Duration {
         Duration::from_millis(self.bounds.blueprint) * 11 / 10
     }
 
     /// What is missing for an election, for operators to read.
-    pub(super) fn missing(&self, image: &Image, g: &Group, since: Duration) -> String {
-        let row = |s: &String| {
-            let seen = self.seen.borrow().get(s).copied();
-            match seen {
-                Some(x) if x.asked >= since && self.counts(image, s) => None,
-                Some(x) if x.asked >= since && image.log(s).is_none() => Some(format!("{s} was never taken in")),
-                Some(x) if x.asked >= since => Some(format!("{s} came back without part of its log")),
-                _ => Some(format!("{s} can't be read")),
+    pub(super) fn describe_missing(&self, image: &Image, group: &Group, since: Duration) -> String {
+        let describe = |server: &String| {
+            let sample = self.log_samples.borrow().get(server).copied();
+            match sample {
+                Some(sample) if sample.requested_at >= since && self.counts_towards_quorum(image, server) => None,
+                Some(sample) if sample.requested_at >= since && image.log(server).is_none() => {
+                    Some(format!("{server} was never taken in"))
+                }
+                Some(sample) if sample.requested_at >= since => {
+                    Some(format!("{server} came back without part of its log"))
+                }
+                _ => Some(format!("{server} can't be read")),
             }
         };
-        g.servers_and_leaving().filter_map(row).collect::<Vec<_>>().join(", ")
+        group.servers_and_leaving().filter_map(describe).collect::<Vec<_>>().join(", ")
     }
 
     /// The entries a first election writes down: those read count from here, the others once they have caught up.
-    pub(super) fn first_logs(&self, image: &Image, g: &Group, since: Duration) -> Vec<ServerLog> {
-        if image.voters(g).next().is_some() {
+    pub(super) fn initial_logs(&self, image: &Image, group: &Group, since: Duration) -> Vec<ServerLog> {
+        if image.voters(group).next().is_some() {
             return Vec::new();
         }
-        let seen = self.seen.borrow();
-        let row = |s: &String| {
-            let x = seen.get(s).filter(|x| x.asked >= since);
-            ServerLog { server: s.clone(), log_id: x.map_or(0, |x| x.log), incomplete: x.is_none(), admission: 1 }
+        let samples = self.log_samples.borrow();
+        let entry = |server: &String| {
+            let sample = samples.get(server).filter(|sample| sample.requested_at >= since);
+            ServerLog {
+                server: server.clone(),
+                log_id: sample.map_or(0, |sample| sample.log_id),
+                incomplete: sample.is_none(),
+                admission: 1,
+            }
         };
-        g.servers.iter().map(row).collect()
+        group.servers.iter().map(entry).collect()
     }
 
     /// Keeps the roll of logs that count: takes in those that have caught up, lets go of those that lost something or
     /// are to leave. One change at a time.
-    pub(super) async fn roll(&self) {
+    pub(super) async fn maintain_log_membership(&self) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat()).await;
             let Some(image) = self.consensus.image() else { continue };
             if !self.consensus.leads() {
                 continue;
             }
-            for g in &image.groups {
-                self.phase(&image, g);
-                let Some(e) = image.election(&g.name) else { continue };
-                let next = self.taken_in(&image, g, e).or_else(|| self.taken_out(&image, g, e));
+            for group in &image.groups {
+                self.update_phase(&image, group);
+                let Some(election) = image.election(&group.name) else { continue };
+                let next =
+                    self.next_admission(&image, group, election).or_else(|| self.next_removal(&image, group, election));
                 let Some((text, next)) = next else { continue };
-                let (name, at) = (g.name.clone(), e.epoch);
-                let out = self
+                let (group_name, epoch) = (group.name.clone(), election.epoch);
+                let result = self
                     .consensus
                     .propose(move |image| {
-                        if image.election(&name).map_or(0, |e| e.epoch) != at {
+                        if image.election(&group_name).map_or(0, |election| election.epoch) != epoch {
                             return Err(ErrorKind::VersionConflict);
                         }
                         let mut image = image.clone();
@@ -157,7 +184,7 @@
                         Ok(image)
                     })
                     .await;
-                if out.is_ok() {
+                if result.is_ok() {
                     self.log(Component::Elect, text);
                     self.publish();
                 }
@@ -166,59 +193,71 @@
         }
     }
 
-    fn phase(&self, image: &Image, g: &Group) {
-        let sum = sum(image, g);
-        let mut all = self.phases.borrow_mut();
-        let p = all.entry(g.name.clone()).or_default();
-        if p.sum != sum {
-            *p = MembershipPhase { since: self.env.now(), sum, goal: None };
+    fn update_phase(&self, image: &Image, group: &Group) {
+        let checksum = membership_checksum(image, group);
+        let mut phases = self.membership_phases.borrow_mut();
+        let phase = phases.entry(group.name.clone()).or_default();
+        if phase.checksum != checksum {
+            *phase = MembershipPhase { since: self.env.now(), checksum, target: None };
         }
     }
 
     /// The leader's newest reading, if it was asked for after a time and shows it leading on its line.
-    fn head(&self, e: &Election, after: Duration) -> Option<Position> {
-        let seen = self.seen.borrow();
-        let s = seen.get(&e.server).filter(|s| s.asked > after && s.leads && s.place.epoch == e.epoch)?;
-        Some(s.place)
+    fn primary_position(&self, election: &Election, after: Duration) -> Option<Position> {
+        let samples = self.log_samples.borrow();
+        let sample = samples.get(&election.server).filter(|sample| {
+            sample.requested_at > after && sample.is_primary && sample.position.epoch == election.epoch
+        })?;
+        Some(sample.position)
     }
 
-    fn taken_in(&self, image: &Image, g: &Group, e: &Election) -> Option<Change> {
-        let leads = self.counts(image, &e.server);
-        for s in &g.servers {
-            let Some(roll) = self.rolls.borrow().get(s).copied() else { continue };
-            let entry = image.log(s).cloned();
-            if let Some(l) = &entry {
-                let same = l.log_id == roll.born;
-                if !l.incomplete && (!same || roll.back.is_some_and(|t| t >= l.admission)) {
-                    let (text, next) = (format!("{s} has lost its log or a part of it"), s.clone());
+    fn next_admission(&self, image: &Image, group: &Group, election: &Election) -> Option<LogChange> {
+        let primary_counts = self.counts_towards_quorum(image, &election.server);
+        for server in &group.servers {
+            let Some(record) = self.log_records.borrow().get(server).copied() else { continue };
+            let entry = image.log(server).cloned();
+            if let Some(log) = &entry {
+                let same = log.log_id == record.log_id;
+                if !log.incomplete
+                    && (!same || record.lost_since_admission.is_some_and(|lost_since| lost_since >= log.admission))
+                {
+                    let (text, name) = (format!("{server} has lost its log or a part of it"), server.clone());
                     return Some((
                         text,
-                        Box::new(move |i| i.logs.iter_mut().for_each(|l| l.incomplete |= l.server == next)),
+                        Box::new(move |image| {
+                            image.logs.iter_mut().for_each(|log| log.incomplete |= log.server == name)
+                        }),
                     ));
                 }
-                if !l.incomplete && same {
+                if !log.incomplete && same {
                     continue;
                 }
             }
             // The elected server need not be proven yet: with one other left, only this one can prove it.
-            if *s == e.server || !leads {
+            if *server == election.server || !primary_counts {
                 continue;
             }
-            let goal = roll.goal.filter(|p| p.epoch == e.epoch).or_else(|| self.head(e, roll.since));
-            if let Some(r) = self.rolls.borrow_mut().get_mut(s) {
-                r.goal = goal;
+            let target = record
+                .target
+                .filter(|target| target.epoch == election.epoch)
+                .or_else(|| self.primary_position(election, record.since));
+            if let Some(record) = self.log_records.borrow_mut().get_mut(server) {
+                record.target = target;
             }
-            let place = self.seen.borrow().get(s).map(|x| x.place);
-            let there = goal.zip(place).is_some_and(|(g, p)| p.epoch == g.epoch && p.index >= g.index);
-            if there {
-                let turn = entry.map_or(0, |l| l.admission) + 1;
-                let new = ServerLog { server: s.clone(), log_id: roll.born, incomplete: false, admission: turn };
-                let text = format!("{s} has caught up with {}; its log counts", goal.unwrap_or_default());
+            let position = self.log_samples.borrow().get(server).map(|sample| sample.position);
+            let has_caught_up = target
+                .zip(position)
+                .is_some_and(|(target, position)| position.epoch == target.epoch && position.index >= target.index);
+            if has_caught_up {
+                let admission = entry.map_or(0, |log| log.admission) + 1;
+                let admitted =
+                    ServerLog { server: server.clone(), log_id: record.log_id, incomplete: false, admission };
+                let text = format!("{server} has caught up with {}; its log counts", target.unwrap_or_default());
                 return Some((
                     text,
-                    Box::new(move |i| {
-                        i.logs.retain(|l| l.server != new.server);
-                        i.logs.push(new);
+                    Box::new(move |image| {
+                        image.logs.retain(|log| log.server != admitted.server);
+                        image.logs.push(admitted);
                     }),
                 ));
             }
@@ -226,34 +265,44 @@
         None
     }
 
-    fn taken_out(&self, image: &Image, g: &Group, e: &Election) -> Option<Change> {
-        let one = g.leaving_servers.first()?.clone();
-        let since = self.phases.borrow().get(&g.name)?.since + self.turned();
-        if self.env.now() < since || g.leaving_servers.contains(&e.server) {
+    fn next_removal(&self, image: &Image, group: &Group, election: &Election) -> Option<LogChange> {
+        let leaving = group.leaving_servers.first()?.clone();
+        let since = self.membership_phases.borrow().get(&group.name)?.since + self.configuration_settle_time();
+        if self.env.now() < since || group.leaving_servers.contains(&election.server) {
             return None;
         }
-        let goal =
-            self.phases.borrow().get(&g.name)?.goal.filter(|p| p.epoch == e.epoch).or_else(|| self.head(e, since))?;
-        if let Some(p) = self.phases.borrow_mut().get_mut(&g.name) {
-            p.goal = Some(goal);
+        let target = self
+            .membership_phases
+            .borrow()
+            .get(&group.name)?
+            .target
+            .filter(|target| target.epoch == election.epoch)
+            .or_else(|| self.primary_position(election, since))?;
+        if let Some(phase) = self.membership_phases.borrow_mut().get_mut(&group.name) {
+            phase.target = Some(target);
         }
-        let held = |s: &String| {
-            let place = self.seen.borrow().get(s).map(|x| x.place);
-            self.counts(image, s) && place.is_some_and(|p| p.epoch == goal.epoch && p.index >= goal.index)
+        let holds_target = |server: &String| {
+            let position = self.log_samples.borrow().get(server).map(|sample| sample.position);
+            self.counts_towards_quorum(image, server)
+                && position.is_some_and(|position| position.epoch == target.epoch && position.index >= target.index)
         };
-        let alone = image.voters(g).all(|l| l.server == e.server || l.server == one);
-        let second = g.servers.iter().any(|s| *s != e.server && held(s));
-        (self.counts(image, &e.server) && (alone || second)).then(|| {
-            let text = format!("{one} has left {}: all up to {goal} is held by those who stay", g.name);
-            let name = g.name.clone();
-            let next: Next = Box::new(move |i| {
-                i.groups.iter_mut().filter(|g| g.name == name).for_each(|g| g.leaving_servers.retain(|l| *l != one));
-                i.logs.retain(|l| l.server != one);
+        let no_other_voter = image.voters(group).all(|log| log.server == election.server || log.server == leaving);
+        let second = group.servers.iter().any(|server| *server != election.server && holds_target(server));
+        (self.counts_towards_quorum(image, &election.server) && (no_other_voter || second)).then(|| {
+            let text = format!("{leaving} has left {}: all up to {target} is held by those who stay", group.name);
+            let group_name = group.name.clone();
+            let edit: ImageEdit = Box::new(move |image| {
+                image
+                    .groups
+                    .iter_mut()
+                    .filter(|group| group.name == group_name)
+                    .for_each(|group| group.leaving_servers.retain(|server| *server != leaving));
+                image.logs.retain(|log| log.server != leaving);
             });
-            (text, next)
+            (text, edit)
         })
     }
 }
 
-type Next = Box<dyn FnOnce(&mut Image)>;
-type Change = (String, Next);
+type ImageEdit = Box<dyn FnOnce(&mut Image)>;
+type LogChange = (String, ImageEdit);
--- /dev/null
+++ b/hub/src/leadership/registration.rs
@@ -0,0 +1,149 @@
+use base::{ErrorKind, runtime::Component};
+use wire::{Group, GroupMembership, Image, ServerAddress};
+
+use super::Leadership;
+
+/// A server that made itself known and is to be written into its group.
+struct Registration {
+    group: String,
+    server: String,
+    /// Whose address it has.
+    replaces: Option<String>,
+    address: ServerAddress,
+}
+
+impl Registration {
+    fn text(&self) -> String {
+        let Self { group, server, .. } = self;
+        match &self.replaces {
+            Some(replaced) => format!("{server} is in the place of {replaced} in {group}"),
+            None => format!("{server} is of {group}"),
+        }
+    }
+}
+
+impl Leadership {
+    /// Writes servers that made themselves known into the groups that are open to them, all that are known at a time in
+    /// one change. A server is written in the place of one that had its address, as that one's log is at it. One that left
+    /// is taken out when it can hold nothing alone; one that fell silent never, so that the number of logs an election
+    /// must read does not shrink.
+    pub(super) async fn register_servers(&self) {
+        loop {
+            self.env.sleep(self.bounds.control_heartbeat() / 2).await;
+            let Some(image) = self.consensus.image() else { continue };
+            if !self.consensus.leads() {
+                continue;
+            }
+            let open = || image.groups.iter().filter(|group| group.confirms);
+            if let Some((group, removable)) = open().find_map(|group| self.removable_server(group)) {
+                let text = format!("{removable} has left {group}: what it held is held by those who stay");
+                if self.consensus.propose(move |image| remove_server(image, &group, &removable)).await.is_ok() {
+                    self.log(Component::Elect, text);
+                    self.publish_soon();
+                }
+                continue;
+            }
+            let recruits: Vec<Registration> = open().flat_map(|group| self.pending_registrations(group)).collect();
+            let complete = self.newly_complete(&image);
+            if recruits.is_empty() && complete.is_empty() {
+                continue;
+            }
+            let mut log_lines: Vec<String> = recruits.iter().map(Registration::text).collect();
+            log_lines.extend(complete.iter().map(|membership| {
+                format!("the {} servers of {} are all there are", membership.servers, membership.group)
+            }));
+            let has_registrations = !recruits.is_empty();
+            if self.consensus.propose(move |image| register(image, &recruits, &complete)).await.is_ok() {
+                log_lines.iter().for_each(|line| self.log(Component::Elect, line));
+                if has_registrations {
+                    self.publish_soon();
+                }
+            }
+        }
+    }
+
+    /// A server that has left and can hold nothing alone any more: the leader was read since, and another who stays holds
+    /// all that it held then.
+    fn removable_server(&self, group: &Group) -> Option<(String, String)> {
+        let records = self.servers.borrow();
+        let statuses = self.server_statuses.borrow();
+        let primary =
+            self.group_leadership.borrow().get(&group.name).filter(|leadership| leadership.granting)?.server.clone();
+        let (requested_at, primary_status) =
+            statuses.get(&primary)?.last_status.filter(|(_, status)| status.is_primary)?;
+        let departed = group.servers.iter().find(|server| {
+            **server != primary
+                && records.get(*server).is_some_and(|record| record.deregistered && record.last_report < requested_at)
+        })?;
+        let holds_everything = |server: &&String| {
+            **server != primary
+                && *server != departed
+                && statuses
+                    .get(*server)
+                    .and_then(|state| state.last_status)
+                    .is_some_and(|(_, status)| status.position >= primary_status.position)
+        };
+        group.servers.iter().find(holds_everything)?;
+        Some((group.name.clone(), departed.clone()))
+    }
+
+    /// The servers to be written into a group, each with the one whose address it has.
+    fn pending_registrations(&self, group: &Group) -> Vec<Registration> {
+        let records = self.servers.borrow();
+        let registration = |server: &String| {
+            let record = records.get(server)?;
+            let replaced =
+                group.servers.iter().find(|other| records.get(*other).is_some_and(|listed| listed.addr == record.addr));
+            let address = record.server_address(server);
+            Some(Registration {
+                group: group.name.clone(),
+                server: server.clone(),
+                replaces: replaced.cloned(),
+                address,
+            })
+        };
+        self.unregistered_servers(group).iter().filter_map(registration).collect()
+    }
+}
+
+/// Takes a server out; whether the list that is left is complete has to be found anew.
+fn remove_server(image: &Image, group_name: &str, server: &str) -> Result<Image, ErrorKind> {
+    let mut image = image.clone();
+    let group = image.groups.iter_mut().find(|group| group.name == group_name).ok_or(ErrorKind::VersionConflict)?;
+    group.servers.retain(|other| other != server);
+    image.server_addresses.retain(|other| other.server != server);
+    image
+        .group_memberships
+        .iter_mut()
+        .filter(|membership| membership.group == group_name)
+        .for_each(|membership| membership.servers = 0);
+    Ok(image)
+}
+
+fn register(image: &Image, recruits: &[Registration], complete: &[GroupMembership]) -> Result<Image, ErrorKind> {
+    let mut image = image.clone();
+    for registration in recruits {
+        let Some(group) = image.groups.iter_mut().find(|group| group.name == registration.group) else { continue };
+        if group.servers.contains(&registration.server) {
+            continue;
+        }
+        group.servers.retain(|server| Some(server) != registration.replaces.as_ref());
+        group.servers.push(registration.server.clone());
+        image.server_addresses.retain(|address| address.server != registration.server);
+        image.server_addresses.push(registration.address.clone());
+    }
+    for membership in complete {
+        // A list that changed meanwhile is looked at again.
+        let same = image
+            .groups
+            .iter()
+            .any(|group| group.name == membership.group && group.servers.len() as u64 == membership.servers);
+        image.group_memberships.retain(|old| old.group != membership.group);
+        if same {
+            image.group_memberships.push(membership.clone());
+        }
+    }
+    let kept: Vec<&String> = image.groups.iter().flat_map(|group| &group.servers).collect();
+    image.server_addresses.retain(|address| kept.contains(&&address.server));
+    Ok(image)
+}
--- a/hub/src/leadership/registry.rs
+++ b/hub/src/leadership/registry.rs
@@ -6,110 +6,110 @@
 /// A server as it last told of itself.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
-    pub area: String,
+    pub zone: String,
     pub addr: String,
     pub draining: bool,
     pub cold: f64,
-    pub leads: bool,
-    pub line: u64,
-    pub heard: Duration,
+    pub is_primary: bool,
+    pub epoch: u64,
+    pub last_report: Duration,
     pub gone: bool,
     /// The group it makes itself known for, if it does.
     pub group: String,
-    pub turn: u64,
+    pub report_seq: u64,
     /// It said that it ends.
-    pub left: bool,
+    pub deregistered: bool,
 }
 
 impl ServerRecord {
     /// From the server's report.
-    pub fn from_report(r: &ServerReport, now: Duration) -> Self {
+    pub fn from_report(report: &ServerReport, now: Duration) -> Self {
         Self {
-            area: r.area.clone(),
-            addr: r.addr.clone(),
-            draining: r.draining,
-            cold: r.cold.clamp(0.0, 1.0),
-            leads: r.leads,
-            line: r.line,
-            heard: now,
-            gone: r.leaving,
-            group: r.group.clone(),
-            turn: r.turn,
-            left: r.leaving,
+            zone: report.area.clone(),
+            addr: report.addr.clone(),
+            draining: report.draining,
+            cold: report.cold.clamp(0.0, 1.0),
+            is_primary: report.leads,
+            epoch: report.line,
+            last_report: now,
+            gone: report.leaving,
+            group: report.group.clone(),
+            report_seq: report.turn,
+            deregistered: report.leaving,
         }
     }
 
     /// From news that an earlier leading hub sent.
-    pub fn from_news(s: &Server, now: Duration) -> Self {
+    pub fn from_snapshot(server: &Server, now: Duration) -> Self {
         Self {
-            area: s.zone.clone(),
-            addr: s.addr.clone(),
-            draining: s.draining,
-            cold: f64::from(s.cold) / 1000.0,
-            leads: s.is_primary,
-            line: s.epoch,
-            heard: if s.gone { Duration::ZERO } else { now },
-            gone: s.gone,
-            group: s.group.clone(),
-            turn: s.report_seq,
-            left: s.left,
+            zone: server.zone.clone(),
+            addr: server.addr.clone(),
+            draining: server.draining,
+            cold: f64::from(server.cold) / 1000.0,
+            is_primary: server.is_primary,
+            epoch: server.epoch,
+            last_report: if server.gone { Duration::ZERO } else { now },
+            gone: server.gone,
+            group: server.group.clone(),
+            report_seq: server.report_seq,
+            deregistered: server.left,
         }
     }
 
     /// From what was written down when the server was written into its group.
-    pub fn from_spot(s: &ServerAddress, group: &str, now: Duration) -> Self {
+    pub fn from_address(server: &ServerAddress, group: &str, now: Duration) -> Self {
         Self {
-            area: s.zone.clone(),
-            addr: s.addr.clone(),
+            zone: server.zone.clone(),
+            addr: server.addr.clone(),
             draining: false,
             cold: 0.0,
-            leads: false,
-            line: 0,
-            heard: now,
+            is_primary: false,
+            epoch: 0,
+            last_report: now,
             gone: false,
             group: group.into(),
-            turn: 0,
-            left: false,
+            report_seq: 0,
+            deregistered: false,
         }
     }
 
     /// Where it stands.
-    pub fn spot(&self, name: &str) -> ServerAddress {
-        ServerAddress { server: name.into(), addr: self.addr.clone(), zone: self.area.clone() }
+    pub fn server_address(&self, name: &str) -> ServerAddress {
+        ServerAddress { server: name.into(), addr: self.addr.clone(), zone: self.zone.clone() }
     }
 
     /// Coldness in twentieths, so that warming up is not news at every report.
-    fn step(&self) -> u32 {
+    fn cold_step(&self) -> u32 {
         (self.cold * 20.0).ceil() as u32 * 50
     }
 
     /// Whether nothing changed that nodes need to hear.
-    pub fn same(&self, o: &ServerRecord) -> bool {
-        self.area == o.area
-            && self.addr == o.addr
-            && self.draining == o.draining
-            && self.leads == o.leads
-            && self.line == o.line
-            && self.gone == o.gone
-            && self.left == o.left
-            && self.group == o.group
-            && self.step() == o.step()
+    pub fn same_published(&self, other: &ServerRecord) -> bool {
+        self.zone == other.zone
+            && self.addr == other.addr
+            && self.draining == other.draining
+            && self.is_primary == other.is_primary
+            && self.epoch == other.epoch
+            && self.gone == other.gone
+            && self.deregistered == other.deregistered
+            && self.group == other.group
+            && self.cold_step() == other.cold_step()
     }
 
     /// As it goes into the news.
-    pub fn news(&self, name: &str) -> Server {
+    pub fn to_message(&self, name: &str) -> Server {
         Server {
             name: name.into(),
-            zone: self.area.clone(),
+            zone: self.zone.clone(),
             addr: self.addr.clone(),
             draining: self.draining,
             gone: self.gone,
-            cold: self.step(),
-            is_primary: self.leads,
-            epoch: self.line,
+            cold: self.cold_step(),
+            is_primary: self.is_primary,
+            epoch: self.epoch,
             group: self.group.clone(),
-            report_seq: self.turn,
-            left: self.left,
+            report_seq: self.report_seq,
+            left: self.deregistered,
         }
     }
 }
@@ -118,35 +118,41 @@
 #[derive(Clone, Debug)]
 pub struct NodeRecord {
     pub node: Node,
-    pub heard: Duration,
+    pub last_heartbeat: Duration,
     /// What it sees of servers, by their names.
-    pub sights: BTreeMap<String, ServerObservation>,
-    pub hub: bool,
+    pub observations: BTreeMap<String, ServerObservation>,
+    pub is_control_node: bool,
 }
 
 impl NodeRecord {
     /// From the node's beat.
-    pub fn from_beat(b: &NodeHeartbeat, now: Duration) -> Self {
+    pub fn from_heartbeat(heartbeat: &NodeHeartbeat, now: Duration) -> Self {
         let node = Node {
-            name: b.name.clone(),
-            zone: b.zone.clone(),
-            peer: b.peer.clone(),
-            http: b.http.clone(),
-            parent: b.parent.clone(),
-            depth: b.depth,
+            name: heartbeat.name.clone(),
+            zone: heartbeat.zone.clone(),
+            peer: heartbeat.peer.clone(),
+            http: heartbeat.http.clone(),
+            parent: heartbeat.parent.clone(),
+            depth: heartbeat.depth,
         };
-        let sights = b.observations.iter().map(|sight| (sight.server.clone(), sight.clone())).collect();
-        Self { node, heard: now, sights, hub: b.hub }
+        let sights = heartbeat
+            .observations
+            .iter()
+            .map(|observation| (observation.server.clone(), observation.clone()))
+            .collect();
+        Self { node, last_heartbeat: now, observations: sights, is_control_node: heartbeat.hub }
     }
 
     /// Whether the node has had no answer from a server for a span.
-    pub fn blind(&self, server: &str, now: Duration, span: Duration) -> bool {
-        let sight = self.sights.get(server);
-        sight.is_none_or(|x| Duration::from_millis(x.age) + now.saturating_sub(self.heard) > span)
+    pub fn cannot_reach(&self, server: &str, now: Duration, max_age: Duration) -> bool {
+        let observation = self.observations.get(server);
+        observation.is_none_or(|observation| {
+            Duration::from_millis(observation.age) + now.saturating_sub(self.last_heartbeat) > max_age
+        })
     }
 
     /// From news that an earlier leading hub sent.
-    pub fn from_news(n: &Node, now: Duration) -> Self {
-        Self { node: n.clone(), heard: now, sights: BTreeMap::new(), hub: false }
+    pub fn from_snapshot(node: &Node, now: Duration) -> Self {
+        Self { node: node.clone(), last_heartbeat: now, observations: BTreeMap::new(), is_control_node: false }
     }
 }
--- a/hub/src/leadership/rows.rs
+++ b/hub/src/leadership/rows.rs
@@ -5,7 +5,7 @@
 
 strict! {
     /// A node as operators read it.
-    pub struct Member {
+    pub struct NodeRow {
         pub name: String,
         pub area: String,
         pub peer: String,
@@ -33,7 +33,7 @@
 
 strict! {
     /// A group's leadership as operators read it.
-    pub struct LeadRow {
+    pub struct LeadershipRow {
         pub group: String,
         pub server: String,
         pub line: u64,
@@ -45,7 +45,7 @@
 
 strict! {
     /// A share of a server's connections that is out.
-    pub struct GrantRow {
+    pub struct ShareRow {
         pub server: String,
         pub node: String,
         pub count: u64,
@@ -58,57 +58,65 @@
 
 impl Leadership {
     /// The nodes whose sessions stand.
-    pub fn members(&self) -> HttpResponse {
+    pub fn node_rows(&self) -> HttpResponse {
         let now = self.env.now();
-        let rows = self.seats.borrow();
-        let row = |s: &super::NodeRecord| Member {
-            name: s.node.name.clone(),
-            area: s.node.zone.clone(),
-            peer: s.node.peer.clone(),
-            http: s.node.http.clone(),
-            parent: s.node.parent.clone(),
-            depth: u64::from(s.node.depth),
-            heard_ms: now.saturating_sub(s.heard).as_millis() as u64,
+        let nodes = self.nodes.borrow();
+        let row = |node: &super::NodeRecord| NodeRow {
+            name: node.node.name.clone(),
+            area: node.node.zone.clone(),
+            peer: node.node.peer.clone(),
+            http: node.node.http.clone(),
+            parent: node.node.parent.clone(),
+            depth: u64::from(node.node.depth),
+            heard_ms: now.saturating_sub(node.last_heartbeat).as_millis() as u64,
         };
-        json(rows.values().map(row).collect())
+        json(nodes.values().map(row).collect())
     }
 
     /// The servers as last told.
     pub fn server_rows(&self) -> HttpResponse {
         let now = self.env.now();
         let image = self.consensus.image();
-        let rows = self.servers.borrow();
-        let row = |(name, t): (&String, &super::ServerRecord)| ServerRow {
+        let servers = self.servers.borrow();
+        let row = |(name, record): (&String, &super::ServerRecord)| ServerRow {
             name: name.clone(),
-            group: image.as_ref().and_then(|i| i.group_of(name)).map(|g| g.name.clone()).unwrap_or_default(),
-            area: t.area.clone(),
-            addr: t.addr.clone(),
-            draining: t.draining,
-            gone: t.gone,
-            cold: t.cold,
-            heard_ms: now.saturating_sub(t.heard).as_millis() as u64,
-            position: self.seen.borrow().get(name).map(|s| s.place.to_string()).unwrap_or_default(),
+            group: image
+                .as_ref()
+                .and_then(|image| image.group_of(name))
+                .map(|group| group.name.clone())
+                .unwrap_or_default(),
+            area: record.zone.clone(),
+            addr: record.addr.clone(),
+            draining: record.draining,
+            gone: record.gone,
+            cold: record.cold,
+            heard_ms: now.saturating_sub(record.last_report).as_millis() as u64,
+            position: self.log_samples.borrow().get(name).map(|sample| sample.position.to_string()).unwrap_or_default(),
         };
-        json(rows.iter().map(row).collect())
+        json(servers.iter().map(row).collect())
     }
 
     /// Who leads each group.
-    pub fn lead_rows(&self) -> HttpResponse {
+    pub fn leadership_rows(&self) -> HttpResponse {
         let image = self.consensus.image();
-        let rows = self.standings().into_iter().map(|(group, s)| LeadRow {
-            server: image.as_ref().and_then(|i| i.election(&group)).map(|e| e.server.clone()).unwrap_or_default(),
+        let rows = self.group_leadership().into_iter().map(|(group, leadership)| LeadershipRow {
+            server: image
+                .as_ref()
+                .and_then(|image| image.election(&group))
+                .map(|election| election.server.clone())
+                .unwrap_or_default(),
             group,
-            line: s.line,
-            granting: s.granting,
-            proven: s.proven,
-            why: s.why,
+            line: leadership.epoch,
+            granting: leadership.granting,
+            proven: leadership.proven,
+            why: leadership.reason,
         });
         json(rows.collect())
     }
 
     /// Which shares are out.
-    pub fn grant_rows(&self) -> HttpResponse {
+    pub fn share_rows(&self) -> HttpResponse {
         let rows = self.leases.borrow().out(self.env.now());
-        json(rows.into_iter().map(|(server, node, count)| GrantRow { server, node, count }).collect())
+        json(rows.into_iter().map(|(server, node, count)| ShareRow { server, node, count }).collect())
     }
 }
--- a/hub/src/lib.rs
+++ b/hub/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control plane: agreement on the operator's word, elections of leaders, grants, news.
 
 pub mod consensus;
-mod door;
-mod entrance;
+mod forwarding;
+mod http_endpoint;
 mod leadership;
 pub mod leases;
 mod on_platform;
--- a/hub/src/main.rs
+++ b/hub/src/main.rs
@@ -10,16 +10,16 @@
     if let Some(path) = boot::platform_settings_path(&flags, platform::VARIABLE) {
         return on_platform(&flags, &path).await;
     }
-    let (set, place) = boot::load_or_exit(&flags, true);
-    boot::set_log_level(&set.log);
+    let (settings, config) = boot::load_or_exit(&flags, true);
+    boot::set_log_level(&settings.log);
     let signals = boot::Signals::new().await;
-    let env = boot::system_env(set.data.as_deref());
-    if let Some(word) = &flags.rescue {
+    let env = boot::system_env(settings.data.as_deref());
+    if let Some(argument) = &flags.rescue {
         // A running hub holds its address, and its disk is not to be touched.
-        if env.listen(place.peer).await.is_err() {
-            boot::exit_cannot_start(&format!("{} is in use: stop this control node first", place.peer));
+        if env.listen(config.peer).await.is_err() {
+            boot::exit_cannot_start(&format!("{} is in use: stop this control node first", config.peer));
         }
-        match hub::rescue::rescue(&env, word).await {
+        match hub::rescue::rescue(&env, argument).await {
             Ok(text) => return println!("{text}"),
             Err(text) => {
                 eprintln!("{text}");
@@ -27,17 +27,17 @@
             }
         }
     }
-    let hub = match hub::run(&env, &place, Default::default()).await {
-        Ok(h) => h,
-        Err(e) => boot::exit_cannot_start(&e.to_string()),
+    let control_node = match hub::run(&env, &config, Default::default()).await {
+        Ok(control_node) => control_node,
+        Err(error) => boot::exit_cannot_start(&error.to_string()),
     };
-    let take = |place: &base::settings::NodeConfig| {
-        hub.platform(place.platform);
+    let take = |config: &base::settings::NodeConfig| {
+        control_node.platform(config.platform);
         "platform"
     };
     signals.until_end(&env, &flags, take).await;
-    hub.leave().await;
-    env.sleep(place.bounds.control_heartbeat()).await;
+    control_node.leave().await;
+    env.sleep(config.bounds.control_heartbeat()).await;
 }
 
 /// Runs under the users' platform, whose settings file is at `path`.
--- a/hub/src/operator/apply.rs
+++ b/hub/src/operator/apply.rs
@@ -13,18 +13,18 @@
 use crate::run::DisabledGuards;
 
 /// The whole set that is to be in force.
-pub struct Wanted {
-    doorways: Vec<operator::Route>,
+pub struct RequestedConfiguration {
+    routes: Vec<operator::Route>,
     groups: Vec<operator::Group>,
     limits: Limits,
     note: String,
 }
 
-impl Wanted {
+impl RequestedConfiguration {
     /// What a whole set asks for.
-    pub fn from_set(old: &Image, set: &Configuration) -> Self {
+    pub fn from_configuration(old: &Image, set: &Configuration) -> Self {
         Self {
-            doorways: set.doorways.clone(),
+            routes: set.doorways.clone(),
             groups: set.groups.clone(),
             limits: set.limits.clone().unwrap_or_else(|| limits(old)),
             note: set.note.clone(),
@@ -33,140 +33,142 @@
 
     /// What a change to a few items asks for.
     pub fn from_change(old: &Image, change: &ConfigurationChange) -> Result<Self, HttpResponse> {
-        let mut all = doorways(old);
+        let mut routes = operator_routes(old);
         for name in &change.drop {
             // Where operators number their sets, one that is not there need not be taken out.
-            if change.number.is_none() && !all.iter().any(|d| d.handle() == name) {
+            if change.number.is_none() && !routes.iter().any(|d| d.handle() == name) {
                 return Err(error_response(ErrorKind::Invalid, &format!("drop: no doorway {name:?}"), None));
             }
-            all.retain(|d| d.handle() != name);
+            routes.retain(|d| d.handle() != name);
         }
-        merge(&mut all, &change.put, |a, b| a.handle() == b.handle());
-        let mut homes = groups(old);
-        homes.retain(|g| !change.drop_groups.contains(&g.name));
-        merge(&mut homes, &change.groups, |a, b| a.name == b.name);
+        merge(&mut routes, &change.put, |a, b| a.handle() == b.handle());
+        let mut groups = operator_groups(old);
+        groups.retain(|g| !change.drop_groups.contains(&g.name));
+        merge(&mut groups, &change.groups, |a, b| a.name == b.name);
         let note = if change.note.is_empty() { &old.note } else { &change.note };
-        Ok(Self {
-            doorways: all,
-            groups: homes,
-            limits: change.limits.clone().unwrap_or_else(|| limits(old)),
-            note: note.clone(),
-        })
+        Ok(Self { routes, groups, limits: change.limits.clone().unwrap_or_else(|| limits(old)), note: note.clone() })
     }
 }
 
 /// The state with a set in force; its faults where it can't be taken.
-pub fn apply(disabled: DisabledGuards, old: &Image, wanted: Wanted) -> Result<Image, HttpResponse> {
-    let mut faults = operator::check(&wanted.doorways, &wanted.groups, &wanted.limits);
-    let groups: Vec<wire::Group> = wanted.groups.iter().map(|g| member(old, g, &mut faults)).collect();
-    if !faults.is_empty() && !disabled.no_check {
-        return Err(error_response(ErrorKind::Invalid, &faults.join("; "), None));
+pub fn apply(disabled: DisabledGuards, old: &Image, wanted: RequestedConfiguration) -> Result<Image, HttpResponse> {
+    let mut errors = operator::check(&wanted.routes, &wanted.groups, &wanted.limits);
+    let groups: Vec<wire::Group> = wanted.groups.iter().map(|group| plan_group(old, group, &mut errors)).collect();
+    if !errors.is_empty() && !disabled.no_check {
+        return Err(error_response(ErrorKind::Invalid, &errors.join("; "), None));
     }
     let mut new = old.clone();
     new.note = wanted.note;
-    new.routes = wanted.doorways.into_iter().map(doorway).collect();
+    new.routes = wanted.routes.into_iter().map(to_wire_route).collect();
     new.groups = groups;
-    let kept: Vec<String> = new.groups.iter().flat_map(|g| g.servers_and_leaving().cloned()).collect();
-    new.logs.retain(|l| kept.contains(&l.server));
+    let kept: Vec<String> = new.groups.iter().flat_map(|group| group.servers_and_leaving().cloned()).collect();
+    new.logs.retain(|log| kept.contains(&log.server));
     new.limits = Some(wire::Limits { statement_ms: wanted.limits.statement_ms, idle_ms: wanted.limits.idle_ms });
     Ok(new)
 }
 
-fn doorway(d: operator::Route) -> wire::Route {
+fn to_wire_route(route: operator::Route) -> wire::Route {
     wire::Route {
-        name: d.name,
-        group: d.group,
-        consistency: d.promise,
-        fallback: d.fall,
-        tag: d.tag,
-        statement_ms: d.statement_ms,
-        aim_ms: d.aim_ms,
-        fresh_ms: d.fresh_ms,
-        rank: d.rank,
-        note: d.note,
+        name: route.name,
+        group: route.group,
+        consistency: route.promise,
+        fallback: route.fall,
+        tag: route.tag,
+        statement_ms: route.statement_ms,
+        aim_ms: route.aim_ms,
+        fresh_ms: route.fresh_ms,
+        rank: route.rank,
+        note: route.note,
     }
 }
 
 fn limits(image: &Image) -> Limits {
-    image.limits.map_or_else(Limits::default, |l| Limits { statement_ms: l.statement_ms, idle_ms: l.idle_ms })
+    image
+        .limits
+        .map_or_else(Limits::default, |limits| Limits { statement_ms: limits.statement_ms, idle_ms: limits.idle_ms })
 }
 
 /// Replaces each item by its newer form where it stands, or adds it.
-fn merge<T: Clone>(all: &mut Vec<T>, new: &[T], same: impl Fn(&T, &T) -> bool) {
-    for n in new {
-        match all.iter_mut().find(|a| same(a, n)) {
-            Some(a) => *a = n.clone(),
-            None => all.push(n.clone()),
+fn merge<T: Clone>(items: &mut Vec<T>, new: &[T], same: impl Fn(&T, &T) -> bool) {
+    for item in new {
+        match items.iter_mut().find(|existing| same(existing, item)) {
+            Some(existing) => *existing = item.clone(),
+            None => items.push(item.clone()),
         }
     }
 }
 
 /// A group as it is to be: one server more or less at a time, so that quorums before and after always meet.
-fn member(old: &Image, g: &operator::Group, faults: &mut Vec<String>) -> wire::Group {
+fn plan_group(old: &Image, group: &operator::Group, errors: &mut Vec<String>) -> wire::Group {
     let mut new = wire::Group {
-        name: g.name.clone(),
-        servers: g.servers.clone(),
-        cap: g.cap,
+        name: group.name.clone(),
+        servers: group.servers.clone(),
+        cap: group.cap,
         leaving_servers: Vec::new(),
-        confirms: g.confirms,
-        note: g.note.clone(),
+        confirms: group.confirms,
+        note: group.note.clone(),
     };
-    if g.confirms {
+    if group.confirms {
         // Its servers make themselves known; a set neither adds nor takes out any.
-        new.servers = old.groups.iter().find(|o| o.name == g.name).map(|o| o.servers.clone()).unwrap_or_default();
+        new.servers = old
+            .groups
+            .iter()
+            .find(|other| other.name == group.name)
+            .map(|other| other.servers.clone())
+            .unwrap_or_default();
         return new;
     }
-    let mut fault = |text: String| faults.push(format!("group {:?}: {text}", g.name));
-    for s in &g.servers {
-        if let Some(o) = old.group_including_leaving(s).filter(|o| o.name != g.name) {
-            fault(format!("server {s:?} is of group {:?}; take it out there first", o.name));
+    let mut error = |text: String| errors.push(format!("group {:?}: {text}", group.name));
+    for server in &group.servers {
+        if let Some(other) = old.group_including_leaving(server).filter(|other| other.name != group.name) {
+            error(format!("server {server:?} is of group {:?}; take it out there first", other.name));
         }
     }
-    let Some(was) = old.groups.iter().find(|o| o.name == g.name) else { return new };
-    new.leaving_servers.clone_from(&was.leaving_servers);
-    if old.election(&g.name).is_none() {
+    let Some(current) = old.groups.iter().find(|other| other.name == group.name) else { return new };
+    new.leaving_servers.clone_from(&current.leaving_servers);
+    if old.election(&group.name).is_none() {
         return new;
     }
-    let lost: Vec<&String> = was.servers.iter().filter(|s| !g.servers.contains(s)).collect();
-    let more: Vec<&String> = g.servers.iter().filter(|s| !was.servers.contains(s)).collect();
-    if lost.len() + more.len() > 1 {
-        fault(format!("one server at a time; this adds {more:?} and takes out {lost:?}"));
+    let removed: Vec<&String> = current.servers.iter().filter(|server| !group.servers.contains(server)).collect();
+    let added: Vec<&String> = group.servers.iter().filter(|server| !current.servers.contains(server)).collect();
+    if removed.len() + added.len() > 1 {
+        error(format!("one server at a time; this adds {added:?} and takes out {removed:?}"));
     }
-    if lost.len() + more.len() > 0
-        && let Some(l) = was.leaving_servers.first()
+    if removed.len() + added.len() > 0
+        && let Some(leaving) = current.leaving_servers.first()
     {
-        fault(format!("server {l:?} is still being taken out; what it may alone hold is not yet held elsewhere"));
+        error(format!("server {leaving:?} is still being taken out; what it may alone hold is not yet held elsewhere"));
     }
     // One that never counted holds nothing that has to be waited for.
-    new.leaving_servers.extend(lost.into_iter().filter(|s| old.log(s).is_some()).cloned());
+    new.leaving_servers.extend(removed.into_iter().filter(|server| old.log(server).is_some()).cloned());
     new
 }
 
 /// The doorways in the operators' form.
-pub fn doorways(image: &Image) -> Vec<operator::Route> {
-    let row = |d: &wire::Route| operator::Route {
-        name: d.name.clone(),
-        group: d.group.clone(),
-        promise: d.consistency.clone(),
-        fall: d.fallback,
-        tag: d.tag.clone(),
-        statement_ms: d.statement_ms,
-        aim_ms: d.aim_ms,
-        fresh_ms: d.fresh_ms,
-        rank: d.rank,
-        note: d.note.clone(),
+pub fn operator_routes(image: &Image) -> Vec<operator::Route> {
+    let to_operator_route = |route: &wire::Route| operator::Route {
+        name: route.name.clone(),
+        group: route.group.clone(),
+        promise: route.consistency.clone(),
+        fall: route.fallback,
+        tag: route.tag.clone(),
+        statement_ms: route.statement_ms,
+        aim_ms: route.aim_ms,
+        fresh_ms: route.fresh_ms,
+        rank: route.rank,
+        note: route.note.clone(),
     };
-    image.routes.iter().map(row).collect()
+    image.routes.iter().map(to_operator_route).collect()
 }
 
 /// The groups in the operators' form.
-pub fn groups(image: &Image) -> Vec<operator::Group> {
-    let row = |g: &wire::Group| operator::Group {
-        name: g.name.clone(),
-        servers: g.servers.clone(),
-        cap: g.cap,
-        confirms: g.confirms,
-        note: g.note.clone(),
+pub fn operator_groups(image: &Image) -> Vec<operator::Group> {
+    let to_operator_group = |group: &wire::Group| operator::Group {
+        name: group.name.clone(),
+        servers: group.servers.clone(),
+        cap: group.cap,
+        confirms: group.confirms,
+        note: group.note.clone(),
     };
-    image.groups.iter().map(row).collect()
+    image.groups.iter().map(to_operator_group).collect()
 }
--- a/hub/src/operator/evacuation.rs
+++ b/hub/src/operator/evacuation.rs
@@ -5,7 +5,7 @@
 use base::{ErrorKind, edge::error_response, http::HttpResponse};
 use wire::Image;
 
-use super::{Done, order::answer};
+use super::{OrderResult, order::sequence_response};
 use crate::{leadership::Leadership, run::DisabledGuards};
 
 /// The zones that an order may name.
@@ -19,9 +19,9 @@
 impl Leadership {
     /// The zones of the settings; where these list none, those that servers and nodes told of, which are all of them
     /// once everybody had the time to.
-    fn zones(&self) -> Zones {
+    fn known_zones(&self) -> Zones {
         let now = self.env.now();
-        let mut names: BTreeSet<String> = self.zones_heard().into_iter().collect();
+        let mut names: BTreeSet<String> = self.observed_zones().into_iter().collect();
         if self.disabled.soft_zones {
             return Zones { names, complete: true };
         }
@@ -32,11 +32,11 @@
     }
 
     /// Empties a zone of work, or takes that back.
-    pub(super) async fn on_evacuation(&self, zone: &str, empty: bool) -> Done {
-        let zones = self.zones();
+    pub(super) async fn on_evacuation(&self, zone: &str, evacuated: bool) -> OrderResult {
+        let zones = self.known_zones();
         let disabled = self.disabled;
         let zone = zone.to_string();
-        self.change(move |old| evacuate(disabled, zones, old, &zone, empty)).await
+        self.propose_change(move |old| evacuate(disabled, zones, old, &zone, evacuated)).await
     }
 }
 
@@ -45,25 +45,25 @@
     mut zones: Zones,
     old: &Image,
     zone: &str,
-    empty: bool,
+    evacuated: bool,
 ) -> Result<Image, HttpResponse> {
     if !disabled.soft_zones {
-        zones.names.extend(old.server_addresses.iter().map(|s| s.zone.clone()));
+        zones.names.extend(old.server_addresses.iter().map(|server| server.zone.clone()));
     }
-    let is_empty = old.evacuated_zones.iter().any(|z| z == zone);
-    if is_empty == empty && (is_empty || zones.names.contains(zone)) && !disabled.soft_zones {
+    let is_evacuated = old.evacuated_zones.iter().any(|name| name == zone);
+    if is_evacuated == evacuated && (is_evacuated || zones.names.contains(zone)) && !disabled.soft_zones {
         // Sent again: it is as it was to be.
-        return Err(answer(old));
+        return Err(sequence_response(old));
     }
-    if !is_empty && !zones.names.contains(zone) {
-        return Err(zones.doubt(format!("area {zone:?}: no server or node tells of it")));
+    if !is_evacuated && !zones.names.contains(zone) {
+        return Err(zones.reject(format!("area {zone:?}: no server or node tells of it")));
     }
     let mut new = old.clone();
-    new.evacuated_zones.retain(|z| z != zone);
-    if empty {
+    new.evacuated_zones.retain(|name| name != zone);
+    if evacuated {
         new.evacuated_zones.push(zone.into());
-        if zones.names.iter().all(|z| new.evacuated_zones.contains(z)) {
-            return Err(zones.doubt(format!("area {zone:?}: it is the last one not emptied")));
+        if zones.names.iter().all(|name| new.evacuated_zones.contains(name)) {
+            return Err(zones.reject(format!("area {zone:?}: it is the last one not emptied")));
         }
     }
     new.sequence += 1;
@@ -72,7 +72,7 @@
 
 impl Zones {
     /// Refuses an order where all zones are known; otherwise it is to be sent again.
-    fn doubt(&self, text: String) -> HttpResponse {
+    fn reject(&self, text: String) -> HttpResponse {
         let kind = if self.complete { ErrorKind::Invalid } else { ErrorKind::Unconfirmed };
         error_response(kind, &text, None)
     }
--- a/hub/src/operator/identity.rs
+++ b/hub/src/operator/identity.rs
@@ -21,7 +21,7 @@
     pub number: u64,
     digest: [u8; DIGEST_BYTES],
     /// What builds before this one kept as identity: CRC-32 and length of the body.
-    old_sum: u64,
+    legacy_checksum: u64,
 }
 
 /// What the agreed state tells of an order.
@@ -39,14 +39,14 @@
     /// The identity of an order by its method, the version that it builds on, and its body.
     pub fn new(method: &str, after: Option<u64>, number: u64, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for part in [method.as_bytes(), &after.map_or_else(Vec::new, |a| a.to_be_bytes().to_vec()), body] {
+        for part in [method.as_bytes(), &after.map_or_else(Vec::new, |version| version.to_be_bytes().to_vec()), body] {
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
         let mut digest = [0; DIGEST_BYTES];
         hasher.finalize_xof().fill(&mut digest);
         let old_sum = u64::from(crc32fast::hash(body)) << 32 | body.len() as u64;
-        Self { number, digest, old_sum }
+        Self { number, digest, legacy_checksum: old_sum }
     }
 
     fn record(&self) -> [u8; RECORD_BYTES] {
@@ -59,14 +59,15 @@
     /// What the state tells of this order, which builds on version `after`.
     pub fn recall(&self, image: &Image, after: Option<u64>) -> Memory {
         let record = self.record();
-        let known = image.applied_orders.chunks_exact(RECORD_BYTES).any(|r| r == record);
-        let known_of_old = image.legacy_orders.contains(&wire::LegacyOrder { number: self.number, sum: self.old_sum });
-        if known || known_of_old {
+        let remembered = image.applied_orders.chunks_exact(RECORD_BYTES).any(|other| other == record);
+        let remembered_as_legacy =
+            image.legacy_orders.contains(&wire::LegacyOrder { number: self.number, sum: self.legacy_checksum });
+        if remembered || remembered_as_legacy {
             return Memory::Taken;
         }
         // One whose number is not above what it builds on was never taken, however long ago it came.
-        let may_have_been = after.is_none_or(|a| a < self.number);
-        if may_have_been && self.number <= image.highest_forgotten_order { Memory::Forgotten } else { Memory::New }
+        let may_be_old = after.is_none_or(|version| version < self.number);
+        if may_be_old && self.number <= image.highest_forgotten_order { Memory::Forgotten } else { Memory::New }
     }
 
     /// Notes in the state that the order was taken, and drops the oldest ones over the bound.
@@ -74,14 +75,14 @@
         image.operator_version = self.number;
         image.applied_orders.extend(self.record());
         let count = image.applied_orders.len() / RECORD_BYTES + image.legacy_orders.len();
-        let mut over = count.saturating_sub(REMEMBERED);
+        let mut excess = count.saturating_sub(REMEMBERED);
         // Those of the form of old are the oldest.
-        let of_old = over.min(image.legacy_orders.len());
-        for dropped in image.legacy_orders.drain(..of_old) {
+        let legacy_excess = excess.min(image.legacy_orders.len());
+        for dropped in image.legacy_orders.drain(..legacy_excess) {
             image.highest_forgotten_order = image.highest_forgotten_order.max(dropped.number);
         }
-        over -= of_old;
-        for dropped in image.applied_orders.drain(..over * RECORD_BYTES).as_slice().chunks_exact(RECORD_BYTES) {
+        excess -= legacy_excess;
+        for dropped in image.applied_orders.drain(..excess * RECORD_BYTES).as_slice().chunks_exact(RECORD_BYTES) {
             let mut number = [0; NUMBER_BYTES];
             number.copy_from_slice(&dropped[..NUMBER_BYTES]);
             image.highest_forgotten_order = image.highest_forgotten_order.max(u64::from_be_bytes(number));
--- a/hub/src/reports.rs
+++ b/hub/src/reports.rs
@@ -7,37 +7,37 @@
 
 use crate::{
     leadership::Leadership,
-    operator::{Done, json, read},
+    operator::{OrderResult, json, parse_body},
 };
 
 impl Leadership {
     /// A server's report of itself.
-    pub(crate) fn on_report(&self, body: &[u8]) -> Done {
-        let r: ServerReport = read(body)?;
-        if r.addr.parse::<std::net::SocketAddr>().is_err() {
+    pub(crate) fn on_report(&self, body: &[u8]) -> OrderResult {
+        let report: ServerReport = parse_body(body)?;
+        if report.addr.parse::<std::net::SocketAddr>().is_err() {
             return Err(error_response(
                 ErrorKind::Invalid,
-                &format!("addr: {:?} is not an IP address with a port", r.addr),
+                &format!("addr: {:?} is not an IP address with a port", report.addr),
                 None,
             ));
         }
         if !self.consensus.leads() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
-        if let Some(at) = self.answers_elsewhere(&r).filter(|_| r.group.is_empty()) {
-            let text = format!("server {:?} answers at {at}; another is of this name", r.server);
+        if let Some(address) = self.answers_elsewhere(&report).filter(|_| report.group.is_empty()) {
+            let text = format!("server {:?} answers at {address}; another is of this name", report.server);
             return Err(error_response(ErrorKind::Invalid, &text, None));
         }
-        self.report(&r);
-        Ok(json(200, format!("{{\"known\":{}}}", self.known(&r.server))))
+        self.record_report(&report);
+        Ok(json(200, format!("{{\"known\":{}}}", self.is_known(&report.server))))
     }
 
     /// A server's word that it ends.
-    pub(crate) fn on_leave(&self, server: &str) -> Done {
+    pub(crate) fn on_leave(&self, server: &str) -> OrderResult {
         if !self.consensus.leads() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
-        self.left(server);
+        self.record_departure(server);
         Ok(json(200, "{}".into()))
     }
 }
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     consensus::{Consensus, Guards, Identity},
-    door::Desk,
+    http_endpoint::HttpHandler,
     leadership::Leadership,
     store::{Fault, Found, Store},
 };
@@ -70,7 +70,7 @@
 }
 
 /// The size at which the log gives way to a new slot.
-const LOG: u64 = 256 << 10;
+const MAX_LOG_BYTES: u64 = 256 << 10;
 
 /// A running hub.
 pub struct Hub {
@@ -79,49 +79,49 @@
     pub relay: Rc<Relay>,
     pub door: Endpoint,
     _tree: Supervisor,
-    _desk: [base::runtime::TaskGuard; 2],
+    _consensus_tasks: [base::runtime::TaskGuard; 2],
 }
 
-struct Root {
+struct ControlNodeHandler {
     consensus: Rc<Consensus>,
     leadership: std::cell::RefCell<Option<Rc<Leadership>>>,
     env: Env,
 }
 
-impl Root {
+impl ControlNodeHandler {
     fn leadership(&self) -> Rc<Leadership> {
         self.leadership.borrow().clone().expect("the leadership is set before the relay runs")
     }
 }
 
-impl RelayHandler for Root {
+impl RelayHandler for ControlNodeHandler {
     fn is_leader(&self) -> bool {
         self.consensus.leads()
     }
 
-    fn fill_heartbeat(&self, _beat: &mut NodeHeartbeat) {}
+    fn fill_heartbeat(&self, _heartbeat: &mut NodeHeartbeat) {}
 
-    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: std::time::Duration) {}
+    fn on_ack(&self, _ack: NodeHeartbeatAck, _sent: std::time::Duration) {}
 
-    fn on_snapshot(&self, _news: &Rc<Snapshot>) {}
+    fn on_snapshot(&self, _snapshot: &Rc<Snapshot>) {}
 
-    fn handle_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
-        self.leadership().on_heartbeat(beat)
+    fn handle_heartbeat(&self, heartbeat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
+        self.leadership().on_heartbeat(heartbeat)
     }
 
-    fn handle_request(&self, ask: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>) {
+    fn handle_request(&self, request: ForwardedRequest, respond: Box<dyn FnOnce(ForwardedResponse)>) {
         let leadership = self.leadership();
         let task = async move {
-            let out = leadership.answer(&ask.method, &ask.path, ask.body).await;
-            let retry = out.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
-            let (origin, boot, nonce) = (ask.origin, ask.boot_id, ask.nonce);
-            done(ForwardedResponse {
+            let response = leadership.handle_request(&request.method, &request.path, request.body).await;
+            let retry = response.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
+            let (origin, boot_id, nonce) = (request.origin, request.boot_id, request.nonce);
+            respond(ForwardedResponse {
                 origin,
                 nonce,
-                status: u32::from(out.status),
+                status: u32::from(response.status),
                 retry_after_s: retry,
-                body: out.body,
-                boot_id: boot,
+                body: response.body,
+                boot_id,
             });
         };
         self.env.spawn(task).detach();
@@ -149,27 +149,27 @@
 }
 
 /// Starts a hub; it runs for as long as the returned value lives.
-pub async fn run(env: &Env, place: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
-    run_in(env, place, disabled, None).await
+pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
+    run_in(env, config, disabled, None).await
 }
 
 /// Starts a hub that speaks to servers which confirm commits in the users' manner.
 pub async fn run_in(
     env: &Env,
-    place: &NodeConfig,
+    config: &NodeConfig,
     disabled: DisabledGuards,
-    manner: Option<Rc<dyn ServerProtocol>>,
+    server_protocol: Option<Rc<dyn ServerProtocol>>,
 ) -> Result<Hub, Fault> {
-    let who = NodeIdentity {
-        name: place.name.clone(),
-        zone: place.zone.clone(),
+    let node_identity = NodeIdentity {
+        name: config.name.clone(),
+        zone: config.zone.clone(),
         is_control_node: true,
-        peer: place.peer,
-        http: place.http,
-        seeds: place.seeds.clone(),
+        peer: config.peer,
+        http: config.http,
+        seeds: config.seeds.clone(),
         boot_id: env.rand(),
     };
-    let (mut store, mut state, found) = Store::open(env, LOG).await?;
+    let (mut store, mut state, found) = Store::open(env, MAX_LOG_BYTES).await?;
     if disabled.no_recall {
         state = Default::default();
     }
@@ -183,13 +183,13 @@
     if state.incarnation == 0 {
         // Written before anything else, so that whoever counts this disk knows it again after a restart.
         state.incarnation = env.rand() | 1;
-        if place.first_start && found == Found::Fresh && place.seeds.contains(&place.peer) {
-            state.formation_seeds = place.seeds.iter().map(ToString::to_string).collect();
+        if config.first_start && found == Found::Fresh && config.seeds.contains(&config.peer) {
+            state.formation_seeds = config.seeds.iter().map(ToString::to_string).collect();
         }
         store.keep(&state).await;
     }
-    let peer = env.listen(place.peer).await?;
-    let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
+    let peer = env.listen(config.peer).await?;
+    let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(config.http).await?)));
     let guards = Guards {
         any_incarnation: disabled.blank_votes,
         no_lease: disabled.no_lease,
@@ -200,47 +200,53 @@
         ..Guards::default()
     };
     let identity = Identity {
-        name: place.name.clone(),
-        zone: place.zone.clone(),
-        address: place.peer,
-        seeds: place.seeds.clone(),
+        name: config.name.clone(),
+        zone: config.zone.clone(),
+        address: config.peer,
+        seeds: config.seeds.clone(),
     };
-    let target = place.tolerated_losses * 2 + 1;
-    let (consensus, jobs) = Consensus::new(env, identity, who.boot_id, place.bounds.clone(), target, state, guards);
-    let relay = Relay::new(env, who.clone(), place.bounds.clone());
-    let root = Rc::new(Root { consensus: consensus.clone(), leadership: Default::default(), env: env.clone() });
-    let leadership = Leadership::new(env, consensus.clone(), relay.clone(), place, manner, disabled);
-    *root.leadership.borrow_mut() = Some(leadership.clone());
-    relay.set_handler(root);
-    let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
-
-    let desk = [env.spawn(consensus.clone().run(jobs, store)), env.spawn(consensus.clone().ticks())];
+    let target = config.tolerated_losses * 2 + 1;
+    let (consensus, queue) =
+        Consensus::new(env, identity, node_identity.boot_id, config.bounds.clone(), target, state, guards);
+    let relay = Relay::new(env, node_identity.clone(), config.bounds.clone());
+    let handler =
+        Rc::new(ControlNodeHandler { consensus: consensus.clone(), leadership: Default::default(), env: env.clone() });
+    let leadership = Leadership::new(env, consensus.clone(), relay.clone(), config, server_protocol, disabled);
+    *handler.leadership.borrow_mut() = Some(leadership.clone());
+    relay.set_handler(handler);
+    let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
+
+    let consensus_tasks = [env.spawn(consensus.clone().run(queue, store)), env.spawn(consensus.clone().ticks())];
     let mut tree = Supervisor::new(env);
-    let a = consensus.clone();
-    tree.child("peers", move || a.clone().keep_links());
+    let peers = consensus.clone();
+    tree.child("peers", move || peers.clone().keep_links());
     relay.supervise(&mut tree, peer);
-    let d = leadership.clone();
-    tree.child("leadership", move || d.clone().run());
-    let (e, d) = (env.clone(), door.clone());
-    let lag = LoopLag::new(env, place.bounds.control_heartbeat());
-    let l = lag.clone();
-    tree.child("loop lag", move || l.clone().watch());
-    let (r, a) = (relay.clone(), consensus.clone());
+    let task = leadership.clone();
+    tree.child("leadership", move || task.clone().run());
+    let (http_env, http_endpoint) = (env.clone(), endpoint.clone());
+    let lag = LoopLag::new(env, config.bounds.control_heartbeat());
+    let watched_lag = lag.clone();
+    tree.child("loop lag", move || watched_lag.clone().watch());
+    let (http_relay, http_consensus) = (relay.clone(), consensus.clone());
     tree.child("door", move || {
-        let (r, a, l) = (r.clone(), a.clone(), lag.clone());
+        let (relay, consensus, lag) = (http_relay.clone(), http_consensus.clone(), lag.clone());
         let make = Rc::new(move || {
-            Rc::new(Desk { relay: r.clone(), consensus: a.clone(), lag: l.clone() }) as Rc<dyn RequestHandler>
+            Rc::new(HttpHandler { relay: relay.clone(), consensus: consensus.clone(), lag: lag.clone() })
+                as Rc<dyn RequestHandler>
         });
-        http::serve(e.clone(), sock.clone(), d.clone(), make)
+        http::serve(http_env.clone(), listener.clone(), http_endpoint.clone(), make)
     });
-    env.log(Component::Main, format!("hub {} in area {} serves {}", who.name, who.zone, place.http));
-    Ok(Hub { consensus, leadership, relay, door, _tree: tree, _desk: desk })
+    env.log(
+        Component::Main,
+        format!("hub {} in area {} serves {}", node_identity.name, node_identity.zone, config.http),
+    );
+    Ok(Hub { consensus, leadership, relay, door: endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
 }
 
 impl Hub {
     /// Takes a changed address of the platform.
     pub fn platform(&self, addr: Option<std::net::SocketAddr>) {
-        self.leadership.platform.set(addr);
+        self.leadership.platform_address.set(addr);
     }
 
     /// Hands over what this hub does and closes its doors.
