--- a/hub/src/forwarding.rs
+++ b/hub/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Hands what comes in at the platform's point to the leading hub, also while another takes over.
+//! Forwards requests from the platform's control endpoint to the leader, also while the leader changes.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -12,20 +12,21 @@
 
 use crate::consensus::Consensus;
 
-/// The way from this hub to the leading one.
+/// The path from this control node to the leader.
 #[derive(Clone, Debug, PartialEq)]
 enum LeaderPath {
-    /// This hub leads.
+    /// This control node is the leader.
     Local,
-    /// Over this parent, which is so far from it.
+    /// By this parent, with the depth of this control node in the tree.
     Via(String, u32),
+    /// There is no known path.
     Unreachable,
 }
 
-/// One hub's entrance for operators and servers.
+/// Forwards requests of operators and servers to the leader.
 ///
-/// Whatever comes in here may be sent up twice: an order is known by its identity, and an evacuation or a server's beat
-/// brings about the same state again.
+/// Every request may be sent twice: a repeated order is recognized by its identity, and a repeated evacuation or server
+/// heartbeat leads to the same state.
 pub struct LeaderForwarder {
     pub env: Env,
     pub bounds: Bounds,
@@ -34,8 +35,9 @@
 }
 
 impl LeaderForwarder {
-    /// Hands a request to the leading hub, and once more where the way was lost meanwhile or no answer comes: a node
-    /// on the way that lost its own parent drops what it can't hand on.
+    /// Forwards a request to the leader, and again if the path changed meanwhile or no response comes: a node on the
+    /// path that lost its own parent drops what it can't forward. Fails with `OutcomeUnknown` if the request was sent
+    /// and with `Unconfirmed` if it was not, once `forward_timeout` has passed without a response.
     pub async fn forward(&self, request: HttpRequest) -> HttpResponse {
         let deadline = self.env.now() + self.forward_timeout();
         let mut was_sent = false;
@@ -57,21 +59,22 @@
         }
     }
 
-    /// How long a way is looked for: callers wait for a second.
+    /// For how long a request is retried; operators and servers wait for one second.
     fn forward_timeout(&self) -> Duration {
         self.bounds.call_timeout() * 3 / 2
     }
 
-    /// After how long without an answer a request is sent up again: a third of the patience.
+    /// After this time without a response a request is sent again: a third of `forward_timeout`.
     fn resend_interval(&self) -> Duration {
         self.forward_timeout() / 3
     }
 
-    /// How often the way is looked at.
+    /// How often the path is checked.
     fn poll_interval(&self) -> Duration {
         self.bounds.control_heartbeat() / 4
     }
 
+    /// The path to the leader that is known now.
     fn current_path(&self) -> LeaderPath {
         if self.consensus.leads() {
             return LeaderPath::Local;
@@ -82,6 +85,7 @@
         }
     }
 
+    /// Waits until the path differs from `path`.
     async fn path_changed(&self, path: &LeaderPath) {
         while self.current_path() == *path {
             self.env.sleep(self.poll_interval()).await;
--- a/hub/src/http_endpoint.rs
+++ b/hub/src/http_endpoint.rs
@@ -1,4 +1,4 @@
-//! The HTTP door of a hub: operators and servers; callers go to spokes.
+//! The HTTP endpoint of a control node, for operators and servers; nodes serve the clients.
 
 use std::rc::Rc;
 
@@ -14,10 +14,12 @@
 
 use crate::consensus::Consensus;
 
-/// One operator's or server's connection.
+/// Handles the requests on one connection of an operator or server: answers status and metrics here, and forwards all
+/// others to the leader.
 pub struct HttpHandler {
     pub relay: Rc<Relay>,
     pub consensus: Rc<Consensus>,
+    /// How late tasks of this process run.
     pub lag: Rc<LoopLag>,
 }
 
@@ -35,6 +37,7 @@
     }
 }
 
+/// The metrics page.
 fn metrics(relay: &Relay, consensus: &Consensus, lag: &LoopLag) -> HttpResponse {
     let is_empty = consensus.empty();
     let sequence = consensus.image().map_or(0, |image| image.sequence);
@@ -57,6 +60,7 @@
     ])
 }
 
+/// The status of this control node, as JSON.
 fn status(relay: &Relay, consensus: &Consensus) -> HttpResponse {
     let (parent, depth) = relay.tree_position();
     let is_empty = consensus.empty();
--- a/hub/src/leadership/election_record.rs
+++ b/hub/src/leadership/election_record.rs
@@ -1,21 +1,21 @@
-//! Writes elections down, those that wait together in one change: a change carries the whole image, and many groups have
-//! their leaders written down at once after a start.
+//! Records elections in the replicated image, all that are pending in one change: a change carries the whole image, and
+//! after a start many groups have their primaries recorded at once.
 
 use futures::channel::oneshot;
 use wire::{Election, Image};
 
 use super::Leadership;
 
-/// An election that waits to be written down.
+/// An election that waits to be recorded.
 pub struct PendingElection {
     new: Election,
-    /// What must still stand in its place.
+    /// The election that must still be recorded for the group.
     expected: Option<Election>,
     done: oneshot::Sender<bool>,
 }
 
 impl Leadership {
-    /// Writes an election down in the place of an older one; false if another stands there by now or its fate is unknown.
+    /// Records an election in place of `expected`; false if another is recorded by now or if the outcome is unknown.
     pub(super) async fn write_election(&self, new: Election, expected: Option<Election>) -> bool {
         let (done, written) = oneshot::channel();
         self.pending_elections.borrow_mut().push(PendingElection { new, expected, done });
@@ -23,7 +23,7 @@
         written.await.unwrap_or(false)
     }
 
-    /// Writes what waits, all of it in each change.
+    /// Records pending elections, all of them in each change.
     pub(super) async fn write_elections(&self) {
         loop {
             let waiting = || (!self.pending_elections.borrow().is_empty()).then_some(());
@@ -40,7 +40,7 @@
     }
 }
 
-/// Replaces each election whose older one still stands.
+/// Replaces each election whose expected predecessor is still recorded.
 fn replace(image: &Image, changes: &[(Election, Option<Election>)]) -> Image {
     let mut next = image.clone();
     for (new, expected) in changes {
--- a/hub/src/leadership/elections.rs
+++ b/hub/src/leadership/elections.rs
@@ -1,3 +1,6 @@
+//! Elections in groups whose primary is elected here, from the logs that the control node reads, and the supervision of
+//! each group.
+
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use base::{
@@ -11,79 +14,89 @@
 
 use super::Leadership;
 
-/// Where a group's leadership stands.
+/// The leadership status of a group.
 #[derive(Clone, Debug, Default)]
 pub struct GroupLeadership {
+    /// The epoch that the primary was elected for.
     pub epoch: u64,
-    /// Who leads, in a group whose servers confirm.
+    /// The primary of a group whose servers confirm commits; empty while unknown and in other groups.
     pub server: String,
-    /// Since when the platform knows that this hub holds the duty, so that no earlier holder's call counts.
+    /// When the platform accepted a promotion with this term's fencing token; it refuses earlier leaders' calls since
+    /// then.
     pub fenced_at: Option<Duration>,
-    /// Servers that an earlier holder may have kept from receiving were freed.
+    /// Servers that an earlier leader may have suspended were told to resume replication.
     pub replicas_resumed: bool,
-    /// Whether leader grants are given.
+    /// Whether leases on the primary are granted.
     pub granting: bool,
-    /// Whether the elected server was seen leading on its line, with a second server following it.
+    /// Whether the elected server was observed as primary in its epoch, with a second server replicating from it.
     pub proven: bool,
-    /// When that was.
+    /// Since when that holds.
     pub proven_since: Duration,
-    /// An election was begun in this term: what nodes still tell of the line before no longer counts.
+    /// An election was begun in this term, so leases of the epoch before that nodes still report are ignored.
     pub ignore_reported_leases: bool,
-    /// A server that an operator wishes to lead.
+    /// The server to hand over to, by request of an operator or because more nodes can reach it.
     pub requested_primary: Option<String>,
-    /// Since when another server is in sight of more nodes than the leader.
+    /// Since when more nodes can reach another server than the primary.
     pub less_reachable_since: Option<Duration>,
-    /// Until when the leader is to be relieved, as an operator takes it out.
+    /// Until when the primary is to hand over, because an operator removes it from the group.
     pub handover_deadline: Option<Duration>,
-    /// A naming in this term got no clear answer: it may still be carried out.
+    /// The outcome of a promotion in this term is unknown: it may still be carried out.
     pub promotion_outcome_unknown: bool,
-    /// An election is due, and the list of servers is not known to be complete.
+    /// An election is needed, but the list of servers is not known to be complete.
     pub waits_for_membership: bool,
     /// Why the next election is held.
     pub reason: String,
 }
 
-/// A server that could lead.
+/// A server that could become primary.
 struct Candidate {
     name: String,
     position: Position,
     log_id: u64,
+    /// Neither draining nor gone, neither in an evacuated zone nor leaving the group.
     eligible: bool,
+    /// How cold the server is, in twentieths.
     cold_step: u32,
 }
 
 impl Leadership {
-    /// Keeps one task for each group.
+    /// Keeps one supervision task for each group.
     pub(super) async fn supervise_groups(self: Rc<Self>) {
         let mut tasks: BTreeMap<String, TaskGuard> = BTreeMap::new();
         loop {
-            let groups: Vec<String> =
-                self.consensus.image().iter().flat_map(|i| i.groups.iter().map(|group| group.name.clone())).collect();
+            let groups: Vec<String> = self
+                .consensus
+                .image()
+                .iter()
+                .flat_map(|image| image.groups.iter().map(|group| group.name.clone()))
+                .collect();
             tasks.retain(|group, _| groups.contains(group));
             self.group_leadership.borrow_mut().retain(|group, _| groups.contains(group));
             for group in groups {
                 tasks.entry(group.clone()).or_insert_with(|| {
                     self.group_leadership.borrow_mut().entry(group.clone()).or_default();
-                    let me = self.clone();
-                    self.env.spawn(async move { me.supervise_group(group).await })
+                    let leadership = self.clone();
+                    self.env.spawn(async move { leadership.supervise_group(group).await })
                 });
             }
             self.env.sleep(self.bounds.control_heartbeat()).await;
         }
     }
 
-    pub(super) fn update_group(&self, group: &str, with: impl FnOnce(&mut GroupLeadership)) {
+    /// Changes a group's leadership status, if the group exists.
+    pub(super) fn update_group(&self, group: &str, change: impl FnOnce(&mut GroupLeadership)) {
         if let Some(state) = self.group_leadership.borrow_mut().get_mut(group) {
-            with(state);
+            change(state);
         }
     }
 
-    /// Standings as operators read them.
+    /// The leadership status of each group.
     pub fn group_leadership(&self) -> Vec<(String, GroupLeadership)> {
         self.group_leadership.borrow().iter().map(|(group, state)| (group.clone(), state.clone())).collect()
     }
 
-    /// An operator's wish that a server lead its group.
+    /// Records an operator's request that a server become primary of its group. Fails with `Invalid` if the server is
+    /// in no group, and with `Unconfirmed` while this control node has no confirmed state.
     pub fn request_handover(&self, server: &str) -> Result<(), ErrorKind> {
         let image = self.consensus.image().ok_or(ErrorKind::Unconfirmed)?;
         let group = image.group_of(server).ok_or(ErrorKind::Invalid)?;
@@ -91,7 +104,7 @@
         Ok(())
     }
 
-    /// Before a leader is taken out of its group it hands over; false when nobody could take over in time.
+    /// Has a primary hand over before it is removed from its group; false if no server could take over in time.
     pub async fn hand_over_before_removal(&self, group: &str, server: &str) -> bool {
         let deadline = self.env.now() + self.bounds.call_timeout() * 2;
         self.update_group(group, |state| state.handover_deadline = Some(deadline));
@@ -106,6 +119,7 @@
         handed_over
     }
 
+    /// Elects, checks and replaces the primary of one group for as long as this control node leads.
     async fn supervise_group(&self, name: String) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat() / 2).await;
@@ -126,6 +140,8 @@
         }
     }
 
+    /// Checks the elected primary: grants leases once it is proven, and elects another when it is lost or has to hand
+    /// over.
     async fn check_primary(&self, group: &Group, election: &Election, leadership: GroupLeadership, image: &Image) {
         let no_voters = image.voters(group).next().is_none();
         if no_voters || self.primary_lost_entries(image, &election.server) {
@@ -147,7 +163,7 @@
             if self.is_primary_proven(group, election) {
                 self.log(
                     Component::Elect,
-                    format!("{} leads {} on line {}", election.server, group.name, election.epoch),
+                    format!("{} is primary of {} in epoch {}", election.server, group.name, election.epoch),
                 );
                 let now = self.env.now();
                 self.update_group(&group.name, |state| {
@@ -162,7 +178,7 @@
             }
             self.update_group(&group.name, |state| state.granting = false);
             self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
-            let log_id = image.log(&election.server).map_or(0, |l| l.log_id);
+            let log_id = image.log(&election.server).map_or(0, |log| log.log_id);
             self.request_promotion(&group.name, election, log_id).await;
             let wait = self.state_changed.wait_until(|| self.is_primary_proven(group, election).then_some(()));
             let timeout = self.bounds.server_gone_after();
@@ -179,7 +195,8 @@
         let record = |server: &str| self.servers.borrow().get(server).cloned();
         let primary = record(&election.server);
         let now = self.env.now();
-        // Nodes that met a returning leader late still count their old silence; they get time to see it.
+        // A node that reconnects late to a primary that returned still reports the old silence. Counting no longer than
+        // the primary has been proven gives such nodes time to update.
         let proven_for = now.saturating_sub(leadership.proven_since);
         let silent = self.silent_for(&election.server, now).min(proven_for);
         if silent > self.bounds.server_gone_after() {
@@ -192,16 +209,19 @@
         let must_hand_over = must_hand_over
             || group.leaving_servers.contains(&election.server)
             || leadership.handover_deadline.is_some_and(|deadline| now < deadline);
-        let requested =
-            leadership.requested_primary.clone().filter(|w| *w != election.server && group.servers.contains(w));
+        let requested = leadership
+            .requested_primary
+            .clone()
+            .filter(|server| *server != election.server && group.servers.contains(server));
         if !must_hand_over && requested.is_none() {
-            // A leader that half has lost sight of gets no new grants, so that they run out while it is watched.
+            // No new leases on a primary that half of the observers can't reach, so that the granted ones expire while
+            // it is watched.
             let granting = silent < self.bounds.server_gone_after() / 2;
             if leadership.granting != granting {
                 self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
                 self.log(
                     Component::Elect,
-                    format!("{} {}", election.server, if granting { "is seen again" } else { "is missed" }),
+                    format!("{} {}", election.server, if granting { "is answering again" } else { "is not answering" }),
                 );
             }
             self.update_group(&group.name, |state| {
@@ -214,7 +234,7 @@
         let can_take_over = |candidate: &Candidate| {
             candidate.eligible
                 && candidate.name != election.server
-                && (must_hand_over || requested.as_ref().is_none_or(|w| *w == candidate.name))
+                && (must_hand_over || requested.as_ref().is_none_or(|server| *server == candidate.name))
         };
         if self.candidates(group, image, Duration::ZERO).iter().any(can_take_over) {
             self.update_group(&group.name, |state| {
@@ -224,8 +244,8 @@
         }
     }
 
-    /// A leader that some nodes can't reach, while another server is in sight of more, is to hand over to that one: two
-    /// zones_heard that lost each other both still see the third.
+    /// Requests a hand-over when some nodes can't reach the primary and more nodes can reach another eligible server:
+    /// two zones that lost the connection to each other can both still reach the third.
     fn check_reachability(
         &self,
         group: &Group,
@@ -262,7 +282,7 @@
             self.log(
                 Component::Elect,
                 format!(
-                    "{primary_count} nodes can't reach {}; {} is in sight of more",
+                    "{primary_count} nodes can't reach {}; more nodes can reach {}",
                     election.server, successor.name
                 ),
             );
@@ -273,12 +293,13 @@
         }
     }
 
-    /// A node tells of a grant that an earlier leading hub gave: that hub had the proof, and the line is the newest still.
-    pub(super) fn note_held_leases(&self, heartbeat: &wire::NodeHeartbeat, image: &Image) {
+    /// Takes over leases that a node reports and that an earlier leader granted, if their epoch is still the newest:
+    /// that leader had observed the primary as proven.
+    pub(super) fn adopt_reported_leases(&self, heartbeat: &wire::NodeHeartbeat, image: &Image) {
         let now = self.env.now();
         for lease in &heartbeat.primary_leases {
             if image.groups.iter().any(|group| group.name == lease.group && group.confirms) {
-                self.note_held_lease(lease);
+                self.adopt_reported_lease(lease);
                 continue;
             }
             if image
@@ -301,7 +322,7 @@
         }
     }
 
-    /// The elected server leads on its line, and a second server holds the line's first entry.
+    /// Whether the elected server is primary in its epoch and a second server holds the first entry of that epoch.
     fn is_primary_proven(&self, group: &Group, election: &Election) -> bool {
         let samples = self.log_samples.borrow();
         let is_primary = samples
@@ -318,8 +339,9 @@
             && (only_server || group.servers_and_leaving().any(|server| *server != election.server && follows(server)))
     }
 
-    /// For how long at least half of those who look at a server have had no answer from it. Where nobody listens at
-    /// its address any more, waiting longer tells nothing: that counts as the whole time.
+    /// For how long at least half of the observers of a server, this control node and all nodes with a recent
+    /// heartbeat, have had no response from it. A refused connection counts as longer than `server_gone_after`, because
+    /// waiting longer at an address without a listener gives no further information.
     fn silent_for(&self, server: &str, now: Duration) -> Duration {
         let recent = now.saturating_sub(self.bounds.node_heartbeat() * 4);
         let (_, since) = self.consensus.term();
@@ -340,6 +362,8 @@
         ages[(ages.len() - 1) / 2]
     }
 
+    /// The servers of a group that were read at `since` or later and whose logs count towards the quorum; in the first
+    /// election any log counts.
     fn candidates(&self, group: &Group, image: &Image, since: Duration) -> Vec<Candidate> {
         let samples = self.log_samples.borrow();
         let servers = self.servers.borrow();
@@ -363,7 +387,8 @@
         group.servers_and_leaving().filter_map(candidate).collect()
     }
 
-    /// Chooses a leader once no older grant can stand; `planned` lets the present one be caught up with first.
+    /// Elects a primary once no earlier lease can be in force, from as many logs as the quorum requires. With
+    /// `planned`, the current primary keeps its role until another server has caught up with it.
     async fn elect_primary(&self, group: &Group, previous: Option<&Election>, planned: bool) {
         let start = self.env.now();
         if previous.is_some() {
@@ -374,7 +399,7 @@
             });
             let reason =
                 self.group_leadership.borrow().get(&group.name).map(|state| state.reason.clone()).unwrap_or_default();
-            self.log(Component::Elect, format!("new leader needed for {}: {reason}", group.name));
+            self.log(Component::Elect, format!("new primary needed for {}: {reason}", group.name));
             self.relay.request_heartbeats();
             self.state_changed.notify_waiters();
             while !self.leases.borrow().primary_free(&group.name, self.env.now()) && !self.disabled.no_wait {
@@ -417,7 +442,8 @@
                 }
                 continue;
             }
-            // Give the last one a moment to answer too, so that a tie is broken well; not if it is the one missed.
+            // Give the remaining servers a moment to answer, so that the best of several with equal positions is
+            // chosen; but don't wait for a server that is silent.
             let is_silent =
                 |server: &String| self.silent_for(server, self.env.now()) > self.bounds.server_gone_after() / 2;
             let absent = group
@@ -444,10 +470,10 @@
             });
             let Some(best) = best else { continue };
             let past_half = self.env.now() - since > limit / 2;
-            let not_requested = requested.as_ref().is_some_and(|w| *w != best.name);
+            let not_requested = requested.as_ref().is_some_and(|server| *server != best.name);
             if planned && (!best.eligible || is_current(best) || not_requested) {
                 if past_half {
-                    // It can't be had now; the present leader goes on.
+                    // The requested server can't take over now; the current primary stays.
                     self.update_group(&group.name, |state| state.requested_primary = None);
                     return;
                 }
@@ -465,7 +491,7 @@
         };
         let (new_election, log_id, initial_logs) = chosen;
         let (server, epoch) = (&new_election.server, new_election.epoch);
-        self.log(Component::Elect, format!("electing {server} for {} on line {epoch}", group.name));
+        self.log(Component::Elect, format!("electing {server} as primary of {} for epoch {epoch}", group.name));
         let previous_epoch = previous.map_or(0, |previous| previous.epoch);
         let proposed = new_election.clone();
         let result = self
@@ -488,10 +514,10 @@
         }
     }
 
-    /// Calls the platform with the elected leader's name; safe to repeat.
+    /// Asks the platform to promote the elected server. Safe to repeat.
     async fn request_promotion(&self, group: &str, election: &Election, log_id: u64) {
         let Some(address) = self.platform_address.get() else {
-            self.log(Component::Elect, "no platform is set; nobody can be named leader");
+            self.log(Component::Elect, "no platform address is set; no server can be promoted");
             return;
         };
         let body = backend::promotion_body(group, &election.server, election.epoch, log_id, election.start_position());
@@ -500,9 +526,11 @@
             Ok(response) if response.status < 300 => {}
             Ok(response) => self.log(
                 Component::Elect,
-                format!("the platform answered {} to naming {}", response.status, election.server),
+                format!("the platform answered {} to the promotion of {}", response.status, election.server),
             ),
-            Err(error) => self.log(Component::Elect, format!("the call naming {} failed: {error}", election.server)),
+            Err(error) => {
+                self.log(Component::Elect, format!("the call to promote {} failed: {error}", election.server))
+            }
         }
     }
 }
--- a/hub/src/leadership/failover.rs
+++ b/hub/src/leadership/failover.rs
@@ -1,5 +1,7 @@
-//! Leaders of groups whose servers confirm commits themselves. Who leads is what the servers say; this hub only decides
-//! who is to lead next, and which grants may stand. See docs/platform.md for why no acknowledged commit is lost.
+//! Failover and planned hand-over in groups whose servers confirm commits themselves.
+//!
+//! The servers report which of them is primary. The leading control node decides only which server is promoted next,
+//! and which leases on a primary are granted. docs/platform.md explains why no acknowledged commit is lost.
 
 use std::time::Duration;
 
@@ -12,44 +14,46 @@
 
 use super::Leadership;
 
-/// How many bits of a fencing token count the namings within a term.
+/// How many low bits of a fencing token count the promotions within a term; the bits above hold the term.
 const PROMOTION_COUNT_BITS: u32 = 20;
 
-/// For how long the duty of naming primaries rests when it goes from one control node to another and both are well: the
-/// platform's users count on one holder in any span of this length.
+/// How long a new leader waits before it promotes a server while the previous leader is still alive. The platform
+/// expects at most one control node to promote servers in any interval of this length.
 const PROMOTER_CHANGE_PAUSE: Duration = Duration::from_secs(3);
 
-/// What a server that confirms showed lately.
+/// A recently reported status of a server that confirms commits.
 struct ConfirmingServer {
     name: String,
     is_primary: bool,
     epoch: u64,
     position: Position,
-    /// Neither draining nor gone nor in an emptied area.
+    /// Neither draining nor gone nor in an evacuated zone.
     eligible: bool,
+    /// How cold the server is, in twentieths.
     cold_step: u32,
 }
 
 impl Leadership {
-    /// The servers of a group as read after `since`.
+    /// The statuses of a group's servers that were requested at `since` or later.
     fn statuses_since(&self, group: &Group, image: &Image, since: Duration) -> Vec<ConfirmingServer> {
         let server_statuses = self.server_statuses.borrow();
         let servers = self.servers.borrow();
-        let row = |server: &String| {
-            let (requested_at, row) = server_statuses.get(server)?.last_status?;
+        let recent_status = |server: &String| {
+            let (requested_at, status) = server_statuses.get(server)?.last_status?;
             let record = servers.get(server)?;
             (requested_at >= since).then(|| ConfirmingServer {
                 name: server.clone(),
-                is_primary: row.is_primary,
-                epoch: row.epoch,
-                position: row.position,
+                is_primary: status.is_primary,
+                epoch: status.epoch,
+                position: status.position,
                 eligible: !record.draining && !record.gone && !image.evacuated_zones.contains(&record.zone),
                 cold_step: (record.cold * 20.0) as u32,
             })
         };
-        group.servers.iter().filter_map(row).collect()
+        group.servers.iter().filter_map(recent_status).collect()
     }
 
+    /// The server that recently reported itself as primary, in the highest epoch if several did.
     fn observed_primary(&self, group: &Group, image: &Image) -> Option<ConfirmingServer> {
         let since = self.env.now().saturating_sub(self.bounds.server_missed_after());
         self.statuses_since(group, image, since)
@@ -58,8 +62,9 @@
             .max_by_key(|server| server.epoch)
     }
 
-    /// For how long the middle one of those who look at a server has had a question to it unanswered. Where nobody
-    /// listens at its address any more, waiting longer tells nothing.
+    /// For how long requests to a server have gone unanswered: the median over this control node and all nodes with a
+    /// recent heartbeat. A refused connection counts as twice `server_missed_after`, because waiting longer at an
+    /// address without a listener gives no further information.
     pub(super) fn unanswered_for(&self, server: &str) -> Duration {
         let now = self.env.now();
         let recent = now.saturating_sub(self.bounds.node_heartbeat() * 4);
@@ -84,8 +89,9 @@
         ages[(ages.len() - 1) / 2]
     }
 
-    /// A node tells of a grant that an earlier leading hub gave: all that were out with it named the same server.
-    pub(super) fn note_held_lease(&self, lease: &wire::PrimaryLeaseGrant) {
+    /// Takes over a lease that a node reports and that an earlier leader granted. All leases on this group's primary
+    /// that were outstanding at the same time name the same server.
+    pub(super) fn adopt_reported_lease(&self, lease: &wire::PrimaryLeaseGrant) {
         let mut group_leadership = self.group_leadership.borrow_mut();
         let Some(leadership) = group_leadership.get_mut(&lease.group) else { return };
         if leadership.server.is_empty() && !leadership.ignore_reported_leases {
@@ -96,10 +102,12 @@
         }
     }
 
+    /// A copy of a group's leadership status; the default where there is none yet.
     fn leadership_of(&self, group: &str) -> super::GroupLeadership {
         self.group_leadership.borrow().get(group).cloned().unwrap_or_default()
     }
 
+    /// Stops granting leases on a group's primary and has the nodes give theirs back.
     fn revoke_leases(&self, group: &str, reason: &str) {
         let was_granting = self.leadership_of(group).granting;
         self.update_group(group, |state| {
@@ -109,13 +117,14 @@
             state.reason = reason.into();
         });
         if was_granting {
-            self.log(Component::Elect, format!("grants of {group} are called back: {reason}"));
+            self.log(Component::Elect, format!("leases on the primary of {group} are revoked: {reason}"));
             self.relay.request_heartbeats();
             self.state_changed.notify_waiters();
         }
     }
 
-    /// One look at a group.
+    /// Checks a group once: records the primary that its servers report, grants or revokes leases, and starts a
+    /// failover or a hand-over where one is needed.
     pub(super) async fn supervise_confirming(&self, group: &Group, image: &Image) {
         let mut leadership = self.leadership_of(&group.name);
         let now = self.env.now();
@@ -124,7 +133,7 @@
             && let Some(election) =
                 image.election(&group.name).filter(|election| group.servers.contains(&election.server))
         {
-            // Grants were given for no other since that was written down.
+            // No lease was granted on any other server since this election was recorded.
             leadership.server.clone_from(&election.server);
             leadership.epoch = election.epoch;
             self.update_group(&group.name, |state| {
@@ -149,7 +158,7 @@
             }
         }
         if leadership.server.is_empty() {
-            // Nobody says that it leads, and no node holds a grant.
+            // No server reports that it is primary, and no node holds a lease.
             let may_elect =
                 group.servers.len() > 1 && now > self.consensus.term().1 + self.bounds.server_missed_after() * 2;
             if may_elect && observed.is_none() && self.leases.borrow().primary_free(&group.name, now) {
@@ -185,7 +194,7 @@
             });
             self.log(
                 Component::Elect,
-                format!("{} {}", leadership.server, if granting { "is seen" } else { "is missed" }),
+                format!("{} {}", leadership.server, if granting { "is answering" } else { "is not answering" }),
             );
             self.relay.request_heartbeats();
         }
@@ -195,7 +204,7 @@
         self.check_confirming_reachability(group, image, &leadership);
     }
 
-    /// Frees servers that an election kept from receiving which was given up, as the leader is back.
+    /// Resumes replication on servers that an abandoned failover had suspended, now that the primary answers again.
     fn resume_suspended(&self, group: &Group, primary: &str) {
         let is_suspended = |server: &&String| {
             let server_statuses = self.server_statuses.borrow();
@@ -210,7 +219,7 @@
         self.resume_all(&suspended);
     }
 
-    /// A leader that some nodes can't reach, while another fit server is in sight of more, is to hand over to that one.
+    /// Requests a hand-over when some nodes can't reach the primary and more nodes can reach another eligible server.
     fn check_confirming_reachability(&self, group: &Group, image: &Image, leadership: &super::GroupLeadership) {
         let now = self.env.now();
         let recent = now.saturating_sub(self.bounds.node_heartbeat() * 4);
@@ -236,7 +245,7 @@
             return self.update_group(&group.name, |state| state.less_reachable_since = None);
         };
         let less_reachable_since = leadership.less_reachable_since.unwrap_or(now);
-        // A single node's word may be chance.
+        // The report of a single node may be a coincidence, so it has to hold for longer.
         let required_duration = if primary_count > 1 {
             self.bounds.server_missed_after() / 2
         } else {
@@ -249,7 +258,7 @@
             self.log(
                 Component::Elect,
                 format!(
-                    "{primary_count} nodes can't reach {}; {} is in sight of more",
+                    "{primary_count} nodes can't reach {}; more nodes can reach {}",
                     leadership.server, successor.name
                 ),
             );
@@ -260,10 +269,10 @@
         }
     }
 
-    /// Writes down who leads before any grant for it is given: whoever leads the hubs later and sees that same server
-    /// lead on that line knows that no grant for another can be out.
+    /// Records the primary before any lease on it is granted. A later leader that observes the same server as primary
+    /// in the same epoch can then conclude that no lease on another server is outstanding.
     async fn record_primary(&self, group: &Group, primary: &ConfirmingServer) -> bool {
-        let recorded = self.consensus.image().and_then(|i| i.election(&group.name).cloned());
+        let recorded = self.consensus.image().and_then(|image| image.election(&group.name).cloned());
         let (index, from) = (primary.position.index, primary.position.epoch);
         let election = Election {
             group: group.name.clone(),
@@ -275,7 +284,8 @@
         self.write_election(election, recorded).await
     }
 
-    /// Grants for a server that was seen leading, once no grant for another can stand.
+    /// Starts to grant leases on a server that was observed as primary, once no lease on another server can be in
+    /// force.
     async fn adopt_primary(
         &self,
         group: &Group,
@@ -287,7 +297,7 @@
             self.revoke_leases(&group.name, &format!("{} leads on line {}", primary.name, primary.epoch));
         }
         let recorded = image.election(&group.name).cloned();
-        // Nothing was ever granted for a group of which nothing is written down.
+        // Without a recorded election no lease was ever granted for the group.
         let same_primary =
             recorded.as_ref().is_none_or(|election| election.server == primary.name && election.epoch == primary.epoch);
         let leases_released = || {
@@ -308,7 +318,7 @@
             return;
         }
         let now = self.env.now();
-        self.log(Component::Elect, format!("{} leads {} on line {}", primary.name, group.name, primary.epoch));
+        self.log(Component::Elect, format!("{} is primary of {} in epoch {}", primary.name, group.name, primary.epoch));
         self.update_group(&group.name, |state| {
             state.server.clone_from(&primary.name);
             state.epoch = primary.epoch;
@@ -319,15 +329,16 @@
             state.requested_primary = None;
             state.less_reachable_since = None;
         });
-        // Whoever was kept from receiving for this election receives again.
+        // Servers that were suspended for this election resume replication.
         let others = group.servers.iter().filter(|server| **server != primary.name);
         others.for_each(|server| self.queue_order(server, StatementKind::ResumeReplication));
         self.relay.request_heartbeats();
         self.state_changed.notify_waiters();
     }
 
-    /// Once a term: the platform hears of this holder by naming the one that leads anyway, so that a call of an earlier
-    /// holder that is still under way no longer counts; after a while, servers that one kept from receiving are freed.
+    /// Once per term, promotes the server that is primary already. The platform thereby learns this term's fencing
+    /// token and refuses calls of an earlier leader that are still in transit. One lease duration later, servers that
+    /// the earlier leader may have suspended resume replication.
     async fn fence_earlier_leader(
         &self,
         group: &Group,
@@ -336,7 +347,7 @@
     ) {
         let now = self.env.now();
         match leadership.fenced_at {
-            // The first term of all has no earlier holder.
+            // There is no earlier leader before the first term.
             None if self.consensus.term().0 <= 1 => self.update_group(&group.name, |state| {
                 state.fenced_at = Some(now);
                 state.replicas_resumed = true;
@@ -360,7 +371,7 @@
         }
     }
 
-    /// Whether an earlier holder of the duty that is still well may have used it a moment ago.
+    /// Whether an earlier leader that is still alive may have promoted a server a moment ago.
     fn in_promoter_change_pause(&self) -> bool {
         let (_, since) = self.consensus.term();
         !self.disabled.no_duty_rest
@@ -368,7 +379,7 @@
             && self.consensus.earlier_leader_alive()
     }
 
-    /// Gives an order to a server, to be carried out on this hub's connection to it.
+    /// Queues a statement for a server, to be sent on this control node's connection to it.
     fn queue_order(&self, server: &str, kind: StatementKind) {
         let mut server_statuses = self.server_statuses.borrow_mut();
         let status = server_statuses.entry(server.into()).or_default();
@@ -378,8 +389,8 @@
         self.state_changed.notify_waiters();
     }
 
-    /// A number that rises with the term and with each naming of another server in it: a call whose answer was lost may
-    /// still come after a later one, and is then refused.
+    /// A number that rises with the term and, within it, with each promotion of another server. A call whose response
+    /// was lost may arrive after a later call; the platform then refuses it.
     fn fencing_token(&self, group: &str, server: &str) -> u64 {
         let mut promotion_counts = self.promotion_counts.borrow_mut();
         let (count, last) = promotion_counts.entry(group.into()).or_default();
@@ -390,7 +401,7 @@
         self.term.get() << PROMOTION_COUNT_BITS | *count
     }
 
-    /// Calls the platform; the answer's code.
+    /// Asks the platform to promote a server. Returns the status of the response, or nothing if no response came.
     async fn promote(&self, group: &Group, server: &str) -> Option<u16> {
         let (address, protocol) = (self.platform_address.get()?, self.server_protocol.clone()?);
         let promotion = Promotion {
@@ -403,20 +414,21 @@
         match result {
             Ok(200) => Some(200),
             Ok(status) => {
-                // Only a refusal is sure not to be carried out.
+                // Only a refusal guarantees that the promotion is not carried out.
                 self.update_group(&group.name, |state| state.promotion_outcome_unknown |= status >= 500);
-                self.log(Component::Elect, format!("the platform answered {status} to naming {server}"));
+                self.log(Component::Elect, format!("the platform answered {status} to the promotion of {server}"));
                 Some(status)
             }
             Err(error) => {
                 self.update_group(&group.name, |state| state.promotion_outcome_unknown = true);
-                self.log(Component::Elect, format!("the call naming {server} failed: {error}"));
+                self.log(Component::Elect, format!("the call to promote {server} failed: {error}"));
                 None
             }
         }
     }
 
-    /// Waits until each of these servers has shown that it receives nothing more; the newest place among them.
+    /// Suspends replication on these servers and waits until each has confirmed it. Returns the highest position among
+    /// them, or nothing after the timeout.
     async fn suspend_all(&self, names: &[String], epoch: u64, timeout: Duration) -> Option<Position> {
         names.iter().for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
         self.urgent_until.set(self.env.now() + timeout);
@@ -430,17 +442,20 @@
         self.env.timeout(timeout, all_suspended).await.ok()
     }
 
+    /// Has these servers resume replication.
     fn resume_all(&self, names: &[String]) {
         names.iter().for_each(|server| self.queue_order(server, StatementKind::ResumeReplication));
     }
 
+    /// The highest epoch that is known of a group.
     fn highest_epoch(&self, group: &Group) -> u64 {
         let server_statuses = self.server_statuses.borrow();
         let epochs = group.servers.iter().filter_map(|server| Some(server_statuses.get(server)?.last_status?.1.epoch));
         epochs.max().unwrap_or(0).max(self.leadership_of(&group.name).epoch)
     }
 
-    /// Elects after the leader was lost: all others are kept from receiving and read, and the furthest is named.
+    /// Fails over after the primary `lost` was lost: suspends replication on all other servers, reads their positions
+    /// and promotes the one with the highest. An empty `lost` means that no primary is known.
     async fn fail_over(&self, group: &Group, lost: &str) {
         if self.in_promoter_change_pause() {
             return;
@@ -451,12 +466,12 @@
             return;
         }
         if !self.is_membership_settled(group) {
-            // A leader that crashed comes back with its log: waiting is safe.
+            // A primary that crashed returns with its log, so waiting is safe.
             return self.wait_for_membership(&group.name);
         }
         self.update_group(&group.name, |state| state.waits_for_membership = false);
         let epoch = self.highest_epoch(group) + 1;
-        self.log(Component::Elect, format!("new leader needed for {}", group.name));
+        self.log(Component::Elect, format!("new primary needed for {}", group.name));
         if self.disabled.no_hold {
             let is_responding = |server: &&String| {
                 self.server_statuses.borrow().get(*server).is_some_and(|status| status.unanswered_since.is_none())
@@ -469,7 +484,7 @@
             return;
         }
         if lost.is_empty() {
-            // Nobody is known to have led: all but one must answer.
+            // The previous primary is unknown, so all servers but one must answer.
             others
                 .iter()
                 .for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
@@ -491,7 +506,7 @@
             let missing: Vec<_> = missing.cloned().collect();
             self.log(
                 Component::Elect,
-                format!("{} can't be read; no leader for {} yet", missing.join(" "), group.name),
+                format!("{} can't be read; no primary for {} yet", missing.join(" "), group.name),
             );
             if self.unanswered_for(lost) < self.bounds.server_missed_after() {
                 self.resume_all(&others);
@@ -506,9 +521,9 @@
             return self.resume_all(&others);
         }
         if !self.is_membership_settled(group) {
-            // Whoever came meanwhile is to be kept from receiving and read too.
+            // A server that registered meanwhile has to be suspended and read too.
             return self
-                .log(Component::Elect, format!("the servers of {} changed; its election begins anew", group.name));
+                .log(Component::Elect, format!("the servers of {} changed; its election starts again", group.name));
         }
         let best = {
             let server_statuses = self.server_statuses.borrow();
@@ -522,27 +537,25 @@
                     |zone: &String| image.as_ref().is_some_and(|image| image.evacuated_zones.contains(zone));
                 servers.get(server).is_some_and(|record| !record.draining && !record.gone && !evacuated(&record.zone))
             };
-            suspended_servers
-                .max_by_key(|(server, status)| (status.position, eligible(server)))
-                .map(|(server, _)| server)
+            suspended_servers.max_by_key(|(server, status)| (status.position, eligible(server))).map(|best| best.0)
         };
         let Some(best) = best else { return };
-        self.log(Component::Elect, format!("naming {best} for {}", group.name));
+        self.log(Component::Elect, format!("promoting {best} in {}", group.name));
         if self.promote(group, &best).await != Some(200) {
             return;
         }
         self.await_primary(group, &best, epoch).await;
     }
 
-    /// Notes that an election waits until the list of a group's servers is complete.
+    /// Records that an election waits until the list of a group's servers is complete.
     fn wait_for_membership(&self, group: &str) {
         if !self.leadership_of(group).waits_for_membership {
-            self.log(Component::Elect, format!("{group}: a server may not be listed yet; no election"));
+            self.log(Component::Elect, format!("{group}: a server may not be registered yet; no election"));
         }
         self.update_group(group, |state| state.waits_for_membership = true);
     }
 
-    /// Waits for the named server to be seen leading.
+    /// Waits until the promoted server reports that it is primary in `epoch` or a later one; false after the timeout.
     async fn await_primary(&self, group: &Group, server: &str, epoch: u64) -> bool {
         let timeout = self.bounds.server_gone_after();
         self.urgent_until.set(self.env.now() + timeout);
@@ -556,12 +569,13 @@
         let wait = self.state_changed.wait_until(|| is_primary(server).then_some(()));
         let became_primary = self.env.timeout(timeout, wait).await.is_ok();
         if !became_primary {
-            self.log(Component::Elect, format!("{server} does not lead {} yet", group.name));
+            self.log(Component::Elect, format!("{server} is not primary of {} yet", group.name));
         }
         became_primary
     }
 
-    /// Hands over from a primary that answers to the one that is furthest and fit.
+    /// Plans a hand-over from a primary that answers to the eligible server with the highest position, or to the
+    /// requested one.
     async fn hand_over(&self, group: &Group, image: &Image, from: &str, requested: Option<String>) {
         if self.in_promoter_change_pause() {
             return;
@@ -578,17 +592,17 @@
             .max_by_key(|status| (status.position, std::cmp::Reverse(status.cold_step)));
         let Some(next) = next else { return };
         let epoch = self.highest_epoch(group) + 1;
-        self.log(Component::Elect, format!("{from} is to hand {} over to {}", group.name, next.name));
+        self.log(Component::Elect, format!("{from} hands {} over to {}", group.name, next.name));
         self.transfer_primary(group, from, &next.name, epoch).await;
     }
 
-    /// The old primary is told to follow, so that it confirms nothing more, and what it holds then is what the next one must
-    /// hold; else it is named again. No list of servers is relied on: one that is coming may receive already and has not
-    /// made itself known.
+    /// Has the old primary step down, so that it confirms no further commits, and promotes `next` once it holds
+    /// everything that the old primary holds then; otherwise promotes the old primary again. This does not rely on the
+    /// list of servers: one that has not registered yet may replicate already.
     async fn transfer_primary(&self, group: &Group, from: &str, next: &str, epoch: u64) {
         self.update_group(&group.name, |state| state.requested_primary = None);
         if self.disabled.any_list {
-            // Tests see what becomes of commits that a server on no list confirms.
+            // Without the guard, tests observe what happens to commits that an unregistered server confirmed.
             self.promote(group, next).await;
             self.await_primary(group, next, epoch).await;
             return;
@@ -599,8 +613,8 @@
             |name: &str| self.server_statuses.borrow().get(name).and_then(|status| status.suspended_status);
         let wait = self.state_changed.wait_until(|| suspended_status(from));
         let Ok(final_status) = self.env.timeout(self.bounds.server_missed_after(), wait).await else {
-            self.log(Component::Elect, format!("{from} can't be told to follow"));
-            // The order must not be carried out later on.
+            self.log(Component::Elect, format!("{from} did not confirm that it stepped down"));
+            // The statement must not be sent later.
             return self.cancel_order(from);
         };
         let has_caught_up = || {
@@ -613,12 +627,13 @@
         let wait = self.state_changed.wait_until(|| has_caught_up().then_some(()));
         let caught_up = self.env.timeout(self.bounds.server_missed_after() / 2, wait).await.is_ok();
         let name = if caught_up { next } else { from };
-        self.log(Component::Elect, format!("{from} follows; naming {name} for {}", group.name));
+        self.log(Component::Elect, format!("{from} stepped down; promoting {name} in {}", group.name));
         if self.promote(group, name).await == Some(200) {
             self.await_primary(group, name, epoch).await;
         }
     }
 
+    /// Drops the statement that is queued for a server.
     fn cancel_order(&self, server: &str) {
         if let Some(status) = self.server_statuses.borrow_mut().get_mut(server) {
             status.pending_order = None;
--- a/hub/src/leadership/log_membership.rs
+++ b/hub/src/leadership/log_membership.rs
@@ -1,3 +1,5 @@
+//! Which servers' logs count towards the quorum of an election, in groups whose primary is elected here.
+
 use std::time::Duration;
 
 use base::{ErrorKind, position::Position, runtime::Component};
@@ -5,29 +7,31 @@
 
 use super::{Leadership, sampling::LogSample};
 
-/// What this hub saw of a server's log since it first met it.
+/// What this control node observed of a server's log since it first read it.
 #[derive(Clone, Copy, Debug)]
 pub struct LogRecord {
-    /// The log's identity.
+    /// The random id of the log.
     log_id: u64,
-    /// Since when this log is known, or known to have lost something.
+    /// Since when this log is known, or known to have lost entries.
     since: Duration,
-    /// The turn of the entry that it lost something of.
+    /// The admission number that the log had when it lost entries; 0 if it was not admitted.
     lost_since_admission: Option<u64>,
-    /// The head it has to reach, read after `since`.
+    /// The primary's position, read after `since`, that the log must reach before it counts.
     target: Option<Position>,
 }
 
-/// How a group's membership stands.
+/// The state of a group's membership change.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MembershipPhase {
-    /// When this hub first knew of the present set of voters and leavers.
+    /// When this control node first observed the current set of voters and leaving servers.
     since: Duration,
+    /// Identifies that set; 0 while none was observed.
     checksum: u64,
-    /// The head that must be held by those who stay.
+    /// The primary's position that the remaining servers must hold.
     target: Option<Position>,
 }
 
+/// A checksum of a group's voters and leaving servers; never 0.
 fn membership_checksum(image: &Image, group: &Group) -> u64 {
     let mut hasher = crc32fast::Hasher::new();
     image.voters(group).for_each(|log| hasher.update(log.server.as_bytes()));
@@ -36,7 +40,7 @@
 }
 
 impl Leadership {
-    /// Takes in a reading; a place that went back, or another log, is noted before the reading counts.
+    /// Stores a sample. A position that went back, or a log with another id, is recorded before the sample is used.
     pub(super) fn record_sample(&self, server: &str, sample: LogSample) {
         let image = self.consensus.image();
         let entry = image.as_ref().and_then(|image| image.log(server).cloned());
@@ -71,7 +75,7 @@
         self.log_samples.borrow_mut().insert(server.into(), sample);
     }
 
-    /// A node tells that a log lost something after it was taken in at this turn.
+    /// Handles a node's report that a log lost entries after it was admitted with this admission number.
     pub(super) fn record_lost_entries(&self, image: &Image, server: &str, admission: u64) {
         if image.log(server).is_some_and(|log| log.admission == admission && !log.incomplete)
             && let Some(record) = self.log_records.borrow_mut().get_mut(server)
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Whether what a server shows counts towards a quorum.
+    /// Whether a server's log counts towards the quorum.
     pub(super) fn counts_towards_quorum(&self, image: &Image, server: &str) -> bool {
         if self.disabled.no_roll {
             return true;
@@ -96,15 +100,15 @@
         same_log && !log.incomplete && !lost
     }
 
-    /// Whether a leader shows that it is not the log that was elected any more.
+    /// Whether the primary's log was read and is no longer the one that was elected.
     pub(super) fn primary_lost_entries(&self, image: &Image, server: &str) -> bool {
         self.log_samples.borrow().contains_key(server)
             && image.log(server).is_some()
             && !self.counts_towards_quorum(image, server)
     }
 
-    /// How many counted logs of a group must be read for an election: all but one of those that quorums are counted
-    /// from, and all while nodes may still act on another set of them.
+    /// How many logs that count must be read for an election: all voters but one. Of two voters both must be read while
+    /// nodes may still use an earlier set of voters.
     pub(super) fn required_logs(&self, image: &Image, group: &Group) -> usize {
         let count = image.voters(group).count();
         let count = if count == 0 { group.servers.len() } else { count };
@@ -116,12 +120,12 @@
         if count == 2 && !settled { 2 } else { count.saturating_sub(1).max(1) }
     }
 
-    /// After how long no node acts on the set before any more: a node that is not confirmed stops sooner.
+    /// After this time no node uses the previous configuration any more: a node that is not confirmed stops sooner.
     fn configuration_settle_time(&self) -> Duration {
         Duration::from_millis(self.bounds.blueprint) * 11 / 10
     }
 
-    /// What is missing for an election, for operators to read.
+    /// Describes for operators which logs are missing for an election, and why.
     pub(super) fn describe_missing(&self, image: &Image, group: &Group, since: Duration) -> String {
         let describe = |server: &String| {
             let sample = self.log_samples.borrow().get(server).copied();
@@ -139,7 +143,8 @@
         group.servers_and_leaving().filter_map(describe).collect::<Vec<_>>().join(", ")
     }
 
-    /// The entries a first election writes down: those read count from here, the others once they have caught up.
+    /// The log entries that a first election records: logs that were read count from then on, the others once they have
+    /// caught up. Empty if the group has voters already.
     pub(super) fn initial_logs(&self, image: &Image, group: &Group, since: Duration) -> Vec<ServerLog> {
         if image.voters(group).next().is_some() {
             return Vec::new();
@@ -157,8 +162,8 @@
         group.servers.iter().map(entry).collect()
     }
 
-    /// Keeps the roll of logs that count: takes in those that have caught up, lets go of those that lost something or
-    /// are to leave. One change at a time.
+    /// Maintains the set of logs that count: admits logs that have caught up, and excludes logs that lost entries or
+    /// whose servers leave. Proposes one change at a time.
     pub(super) async fn maintain_log_membership(&self) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat()).await;
@@ -193,6 +198,7 @@
         }
     }
 
+    /// Restarts a group's membership phase when its voters or leaving servers changed.
     fn update_phase(&self, image: &Image, group: &Group) {
         let checksum = membership_checksum(image, group);
         let mut phases = self.membership_phases.borrow_mut();
@@ -202,7 +208,8 @@
         }
     }
 
-    /// The leader's newest reading, if it was asked for after a time and shows it leading on its line.
+    /// The position in the primary's latest sample, if that was requested later than `after` and shows it as primary in
+    /// its epoch.
     fn primary_position(&self, election: &Election, after: Duration) -> Option<Position> {
         let samples = self.log_samples.borrow();
         let sample = samples.get(&election.server).filter(|sample| {
@@ -211,6 +218,7 @@
         Some(sample.position)
     }
 
+    /// The next log to mark as incomplete because it lost entries, or to admit because it has caught up.
     fn next_admission(&self, image: &Image, group: &Group, election: &Election) -> Option<LogChange> {
         let primary_counts = self.counts_towards_quorum(image, &election.server);
         for server in &group.servers {
@@ -221,7 +229,7 @@
                 if !log.incomplete
                     && (!same || record.lost_since_admission.is_some_and(|lost_since| lost_since >= log.admission))
                 {
-                    let (text, name) = (format!("{server} has lost its log or a part of it"), server.clone());
+                    let (text, name) = (format!("{server} has lost its log or part of it"), server.clone());
                     return Some((
                         text,
                         Box::new(move |image| {
@@ -233,7 +241,8 @@
                     continue;
                 }
             }
-            // The elected server need not be proven yet: with one other left, only this one can prove it.
+            // The elected server need not be proven yet: with only one other server left, that one has to be admitted
+            // first so that it can prove the primary.
             if *server == election.server || !primary_counts {
                 continue;
             }
@@ -252,7 +261,10 @@
                 let admission = entry.map_or(0, |log| log.admission) + 1;
                 let admitted =
                     ServerLog { server: server.clone(), log_id: record.log_id, incomplete: false, admission };
-                let text = format!("{server} has caught up with {}; its log counts", target.unwrap_or_default());
+                let text = format!(
+                    "{server} has caught up with {}; its log counts towards the quorum",
+                    target.unwrap_or_default()
+                );
                 return Some((
                     text,
                     Box::new(move |image| {
@@ -265,6 +277,7 @@
         None
     }
 
+    /// The next leaving server to remove: one whose entries the remaining servers hold.
     fn next_removal(&self, image: &Image, group: &Group, election: &Election) -> Option<LogChange> {
         let leaving = group.leaving_servers.first()?.clone();
         let since = self.membership_phases.borrow().get(&group.name)?.since + self.configuration_settle_time();
@@ -289,7 +302,8 @@
         let no_other_voter = image.voters(group).all(|log| log.server == election.server || log.server == leaving);
         let second = group.servers.iter().any(|server| *server != election.server && holds_target(server));
         (self.counts_towards_quorum(image, &election.server) && (no_other_voter || second)).then(|| {
-            let text = format!("{leaving} has left {}: all up to {target} is held by those who stay", group.name);
+            let text =
+                format!("{leaving} has left {}: the remaining servers hold everything up to {target}", group.name);
             let group_name = group.name.clone();
             let edit: ImageEdit = Box::new(move |image| {
                 image
@@ -304,5 +318,7 @@
     }
 }
 
+/// A change of the image.
 type ImageEdit = Box<dyn FnOnce(&mut Image)>;
+/// A log line and the change that it describes.
 type LogChange = (String, ImageEdit);
--- a/hub/src/leadership/membership.rs
+++ b/hub/src/leadership/membership.rs
@@ -1,5 +1,5 @@
-//! Whether the list of a group's servers is complete. Servers make themselves known by heartbeats, and nobody tells how
-//! many there are: one that is not listed yet may have confirmed a commit. See "No acknowledged commit is lost" in
+//! Whether the list of a group's servers is complete. Servers register by heartbeats, and their number is not
+//! configured: a server that is not registered yet may have confirmed a commit. See "No acknowledged commit is lost" in
 //! docs/platform.md.
 
 use std::{collections::BTreeMap, time::Duration};
@@ -8,18 +8,18 @@
 
 use super::Leadership;
 
-/// Of the servers that answer readings, this share must have sent a heartbeat lately, in tenths.
+/// The share of the responding servers, in tenths, that must have sent a heartbeat recently.
 const MIN_REPORTING_TENTHS: usize = 9;
 
-/// A list that is shorter than another group's must stay as it is so many times as long before it is first found complete.
+/// A list that is shorter than another group's must stay unchanged this many times as long before it is first found
+/// complete.
 const SHORT_LIST_FACTOR: u32 = 4;
 
-/// The lists of servers that this hub saw, and since when each has stayed as it is.
+/// Each group's list of servers as this control node observed it, and since when it has been unchanged.
 pub type ServerLists = BTreeMap<String, (Vec<String>, Duration)>;
 
 impl Leadership {
-    /// Whether an election may rest on the list: it was found complete, and nobody has made itself known since who is
-    /// not on it.
+    /// Whether an election may rely on the list: it was found complete, and no unregistered server has reported itself.
     pub(super) fn is_membership_settled(&self, group: &Group) -> bool {
         if self.disabled.any_list {
             return true;
@@ -31,7 +31,7 @@
             && self.unregistered_servers(newest).is_empty()
     }
 
-    /// Servers that made themselves known for a group and are not written into it.
+    /// Servers that reported themselves for a group and are not registered in it.
     pub(super) fn unregistered_servers(&self, group: &Group) -> Vec<String> {
         let records = self.servers.borrow();
         let of_group =
@@ -39,20 +39,20 @@
         of_group.map(|(name, _)| name).filter(|name| !group.servers.contains(name)).cloned().collect()
     }
 
-    /// How long a list must stay as it is before it counts as complete. A server sends a heartbeat within the time after
-    /// which it would count as gone, and a second one if the first is lost.
+    /// How long a list must stay unchanged before it counts as complete. A server sends a heartbeat within
+    /// `server_gone_after`, and a second one within the same time again if the first is lost.
     fn settle_time(&self) -> Duration {
         self.bounds.server_gone_after() * 2
     }
 
-    /// The groups whose lists are found complete now and are not recorded as such yet.
+    /// The groups whose lists are complete now and are not recorded as such yet.
     pub(super) fn newly_complete(&self, image: &Image) -> Vec<GroupMembership> {
         let now = self.env.now();
         let groups: Vec<&Group> = image.groups.iter().filter(|group| group.confirms).collect();
-        let mut listed = self.server_lists.borrow_mut();
-        listed.retain(|name, _| groups.iter().any(|group| group.name == *name));
+        let mut server_lists = self.server_lists.borrow_mut();
+        server_lists.retain(|name, _| groups.iter().any(|group| group.name == *name));
         for group in &groups {
-            let entry = listed.entry(group.name.clone()).or_insert_with(|| (group.servers.clone(), now));
+            let entry = server_lists.entry(group.name.clone()).or_insert_with(|| (group.servers.clone(), now));
             if entry.0 != group.servers {
                 *entry = (group.servers.clone(), now);
             }
@@ -72,7 +72,7 @@
         let is_settled = |group: &Group| {
             let first_time = image.group_memberships.iter().all(|membership| membership.group != group.name);
             let factor = if first_time && group.servers.len() < max_servers { SHORT_LIST_FACTOR } else { 1 };
-            let since = listed.get(&group.name).map_or(now, |entry| entry.1);
+            let since = server_lists.get(&group.name).map_or(now, |entry| entry.1);
             since + self.settle_time() * factor < now
                 && !group.servers.is_empty()
                 && self.unregistered_servers(group).is_empty()
@@ -84,26 +84,28 @@
             .collect()
     }
 
-    /// Whether a server answers this hub's readings.
+    /// Whether a server answered this control node's status requests recently.
     fn is_responding(&self, server: &str) -> bool {
         let since = self.env.now().saturating_sub(self.bounds.server_gone_after());
         self.server_statuses.borrow().get(server).and_then(|status| status.last_response).is_some_and(|at| at >= since)
     }
 
+    /// Whether a server has sent a heartbeat later than `since`.
     fn reported_since(&self, server: &str, since: Duration) -> bool {
         self.servers.borrow().get(server).is_some_and(|record| record.last_report > since)
     }
 
-    /// Whether all servers of a group that answer have sent a heartbeat since a time.
+    /// Whether all responding servers of a group have sent a heartbeat later than `since`.
     fn all_reported(&self, group: &Group, since: Duration) -> bool {
         group.servers.iter().all(|server| !self.is_responding(server) || self.reported_since(server, since))
     }
 
-    /// Whether heartbeats arrive at all: a hub or network that loses many would miss those of an unlisted server too.
+    /// Whether heartbeats arrive at all: a control node or network that loses many of them would also lose those of an
+    /// unregistered server.
     fn heartbeats_arrive(&self, image: &Image, since: Duration) -> bool {
         let servers = image.groups.iter().filter(|group| group.confirms).flat_map(|group| &group.servers);
         let answering: Vec<&String> = servers.filter(|server| self.is_responding(server)).collect();
-        let heard = answering.iter().filter(|server| self.reported_since(server, since)).count();
-        heard * 10 >= answering.len() * MIN_REPORTING_TENTHS
+        let reporting = answering.iter().filter(|server| self.reported_since(server, since)).count();
+        reporting * 10 >= answering.len() * MIN_REPORTING_TENTHS
     }
 }
--- a/hub/src/leadership/mod.rs
+++ b/hub/src/leadership/mod.rs
@@ -1,4 +1,5 @@
-//! What the leading hub does: knows servers and nodes as they tell, gives grants, elects leaders, sends news.
+//! What the leading control node does: it collects the reports of servers and the heartbeats of nodes, grants leases,
+//! elects primaries and publishes state snapshots.
 
 mod election_record;
 mod elections;
@@ -43,13 +44,13 @@
 use registry::{NodeRecord, ServerRecord};
 use sampling::{LogSample, ServerStatus};
 
-/// How many nodes news tells of at most.
+/// How many nodes a snapshot lists at most.
 const MAX_PUBLISHED_NODES: usize = 64;
 
-/// For how many times the bound of silence a server that is gone and in no group is still known.
+/// A server that is gone and in no group is forgotten after this many times `server_gone_after`.
 const FORGET_AFTER_FACTOR: u32 = 8;
 
-/// The leading hub's desk; empty on the others.
+/// The state of the leading control node; not used on the others.
 pub struct Leadership {
     pub(crate) env: Env,
     pub(crate) consensus: Rc<Consensus>,
@@ -57,43 +58,53 @@
     pub(crate) bounds: Bounds,
     pub(crate) platform_address: Cell<Option<SocketAddr>>,
     pub(crate) server_protocol: Option<Rc<dyn ServerProtocol>>,
-    /// What servers that confirm are to be told, and what they last showed of themselves.
+    /// By name, the connection status of servers that confirm commits: the last reported status and the queued
+    /// statement.
     server_statuses: RefCell<BTreeMap<String, ServerStatus>>,
+    /// Servers by name, as last reported.
     servers: RefCell<BTreeMap<String, ServerRecord>>,
+    /// Nodes by name, as of their last heartbeat.
     nodes: RefCell<BTreeMap<String, NodeRecord>>,
-    /// How often another server than before was named for a group in this term, and the last one.
+    /// By group, how often the server to promote changed in this term, and the last one.
     promotion_counts: RefCell<BTreeMap<String, (u64, String)>>,
-    /// The nodes that the newest news told of.
+    /// The nodes in the latest snapshot.
     published_nodes: RefCell<Vec<wire::Node>>,
     leases: RefCell<LeaseTable>,
+    /// The leadership status by group.
     group_leadership: RefCell<BTreeMap<String, GroupLeadership>>,
+    /// The latest log sample by server.
     log_samples: RefCell<BTreeMap<String, LogSample>>,
+    /// What was observed of each server's log.
     log_records: RefCell<BTreeMap<String, LogRecord>>,
+    /// The state of the membership change by group.
     membership_phases: RefCell<BTreeMap<String, MembershipPhase>>,
     server_lists: RefCell<ServerLists>,
-    /// Elections to be written down.
+    /// Elections to be recorded.
     pending_elections: RefCell<Vec<PendingElection>>,
-    /// The state moved since the newest news.
+    /// The state changed since the latest snapshot.
     unpublished: Cell<bool>,
-    /// Servers whose address turned the hub away at once, twice in a row.
+    /// Servers whose address refused the connection at once, twice in a row.
     refusing_servers: RefCell<BTreeSet<String>>,
+    /// The term that this control node began to lead in.
     term: Cell<u64>,
+    /// The count in the latest snapshot's version, which rises within a term.
     snapshot_count: Cell<u64>,
-    /// A change was not published, as the lease had lapsed; it goes out before any node is confirmed again.
+    /// A change was not published because the leader lease had expired; it is published before any node is confirmed
+    /// again.
     publish_overdue: Cell<bool>,
-    /// Until when servers are read more often, as somebody waits for what is read.
+    /// Until when servers are sampled more often, because a decision waits for the result.
     urgent_until: Cell<Duration>,
-    /// Orders under way.
+    /// One permit for each operator's order in progress.
     pub(crate) order_permits: Permits,
-    /// The zones that the settings list; none where they list none.
-    pub(crate) listed_zones: Vec<String>,
-    /// Rung when servers, nodes or grants moved.
+    /// The zones that the settings list; may be empty.
+    pub(crate) configured_zones: Vec<String>,
+    /// Notified when servers, nodes, leases or the queue of pending work changed.
     pub state_changed: Notify,
     pub(crate) disabled: DisabledGuards,
 }
 
 impl Leadership {
-    /// A desk that nothing has been told yet.
+    /// Creates an empty state. `server_protocol` is the protocol of servers that confirm commits, if there are any.
     pub fn new(
         env: &Env,
         consensus: Rc<Consensus>,
@@ -128,7 +139,7 @@
             publish_overdue: Cell::default(),
             urgent_until: Cell::default(),
             order_permits: Permits::new(operator::MAX_CONCURRENT_ORDERS),
-            listed_zones: config.zones.clone(),
+            configured_zones: config.zones.clone(),
             state_changed: Notify::default(),
             disabled,
         });
@@ -140,7 +151,8 @@
         leadership
     }
 
-    /// Leads whenever the agreement says so, and clears the desk when it no longer does.
+    /// Runs the leader's tasks whenever the consensus makes this control node the leader, and stops them when it no
+    /// longer is.
     pub async fn run(self: Rc<Self>) -> Result<(), std::convert::Infallible> {
         loop {
             self.consensus.bell.wait_until(|| self.consensus.leads().then_some(())).await;
@@ -171,9 +183,10 @@
         }
     }
 
+    /// Resets the state for a new term and publishes the first snapshot.
     fn begin_term(&self, term: u64) {
         self.term.set(term);
-        // Marks rise within a term, whatever was published in it before.
+        // Snapshot versions rise within a term, whatever was published in it before.
         let before = self.relay.latest().filter(|snapshot| snapshot.version.term == term);
         self.snapshot_count.set(before.map_or(0, |snapshot| snapshot.version.count));
         self.publish_overdue.set(false);
@@ -193,7 +206,7 @@
         self.promotion_counts.borrow_mut().clear();
         self.refusing_servers.borrow_mut().clear();
         self.server_statuses.borrow_mut().clear();
-        // What was told to the hub before is in the news that came by; the rest is told again soon.
+        // What was reported to the previous leader is in its latest snapshot; the rest is soon reported again.
         let now = self.env.now();
         let mut servers = self.servers.borrow_mut();
         servers.clear();
@@ -205,10 +218,10 @@
                 .borrow_mut()
                 .extend(snapshot.nodes.iter().map(|node| (node.name.clone(), NodeRecord::from_snapshot(node, now))));
         }
-        // After all processes were down nobody tells it again for a while.
+        // After all processes were down, servers don't report their addresses again for a while.
         if let Some(image) = self.consensus.image() {
             for server in &image.server_addresses {
-                let group = image.group_including_leaving(&server.server).map_or("", |g| &g.name);
+                let group = image.group_including_leaving(&server.server).map_or("", |group| &group.name);
                 servers.entry(server.server.clone()).or_insert_with(|| ServerRecord::from_address(server, group, now));
             }
         }
@@ -216,12 +229,12 @@
         self.publish();
     }
 
-    /// The newest mark; every change of news raises it before it is acted on.
+    /// The version of the latest snapshot; every published change raises it before anything acts on the change.
     fn snapshot_version(&self) -> SnapshotVersion {
         SnapshotVersion { term: self.term.get(), count: self.snapshot_count.get() }
     }
 
-    /// Sends news of the present state down the tree.
+    /// Publishes a snapshot of the current state to all nodes.
     pub fn publish(&self) {
         let Some(image) = self.consensus.image() else { return };
         self.publish_overdue.set(!self.consensus.leads());
@@ -237,13 +250,14 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Sends news with the next batch: what servers tell of themselves is not news at every heartbeat.
+    /// Publishes a snapshot with the next batch, so that not every server's report causes one.
     pub(super) fn publish_soon(&self) {
         self.unpublished.set(true);
     }
 
-    /// Sends what has gathered, in batches. The delay adds to the time that a node may go on without newer news, four fifths
-    /// of the blueprint bound; together they keep within the drain bound. A new set or an emptied area never waits here.
+    /// Publishes collected changes in batches. The delay adds to the time that a node may go on without a newer
+    /// snapshot, four fifths of the `blueprint` bound; together they stay within the `drain` bound. A new configuration
+    /// or an evacuation never waits here.
     async fn publish_batches(&self) {
         loop {
             self.env.sleep(self.batch_interval()).await;
@@ -253,12 +267,12 @@
         }
     }
 
-    /// How long news gathers: half a beat.
+    /// For how long changes are collected before a snapshot is published: half a node's heartbeat interval.
     fn batch_interval(&self) -> Duration {
         self.bounds.node_heartbeat() / 2
     }
 
-    /// The nodes that news tells of, for others to hang on: those nearest to the root.
+    /// The nodes to list in a snapshot, which other nodes may choose as parents: those nearest to the root of the tree.
     fn nodes_to_publish(&self) -> Vec<wire::Node> {
         let nodes = self.nodes.borrow();
         let mut all: Vec<&wire::Node> = nodes.values().map(|record| &record.node).collect();
@@ -269,14 +283,14 @@
         all.into_iter().cloned().collect()
     }
 
-    /// Takes a server's own report.
+    /// Stores a server's report of itself, unless a later one has arrived already.
     pub fn record_report(&self, report: &ServerReport) {
         let now = self.env.now();
         let changed = {
             let mut servers = self.servers.borrow_mut();
             if report.turn > 0 && servers.get(&report.server).is_some_and(|previous| previous.report_seq >= report.turn)
             {
-                // A late one: what came after it is known already.
+                // A later report has arrived already.
                 return;
             }
             let record = ServerRecord::from_report(report, now);
@@ -288,7 +302,7 @@
         }
     }
 
-    /// Takes a server's word that it ends.
+    /// Records that a server deregistered itself because it ends.
     pub fn record_departure(&self, server: &str) {
         if let Some(record) = self.servers.borrow_mut().get_mut(server) {
             record.deregistered = true;
@@ -298,8 +312,8 @@
         self.publish_soon();
     }
 
-    /// The other address at which a server of this name still answers this hub's readings.
-    pub fn answers_elsewhere(&self, report: &ServerReport) -> Option<String> {
+    /// The other address at which a server of this name still answers this control node, if any.
+    pub fn responding_address(&self, report: &ServerReport) -> Option<String> {
         let now = self.env.now();
         let address = self.servers.borrow().get(&report.server)?.addr.clone();
         let answered_lately = self
@@ -310,12 +324,12 @@
         (address != report.addr && answered_lately).then_some(address)
     }
 
-    /// Whether any group of the image has this server.
+    /// Whether the server is in a group or leaving one.
     pub fn is_known(&self, server: &str) -> bool {
         self.consensus.image().is_some_and(|image| image.group_including_leaving(server).is_some())
     }
 
-    /// The zones_heard that servers and nodes tell of.
+    /// The zones that servers and nodes report, sorted and without duplicates.
     pub fn observed_zones(&self) -> Vec<String> {
         let mut zones: Vec<String> = self.servers.borrow().values().map(|record| record.zone.clone()).collect();
         zones.extend(self.nodes.borrow().values().map(|node| node.node.zone.clone()));
@@ -324,7 +338,8 @@
         zones
     }
 
-    /// Takes a node's beat and gives its grants.
+    /// Handles a node's heartbeat and returns the acknowledgement with the leases granted to the node. Returns nothing
+    /// if this control node doesn't lead or if the node runs with other bounds.
     pub fn on_heartbeat(&self, heartbeat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         if !self.consensus.leads() || self.term.get() != self.consensus.term().0 {
             return None;
@@ -351,7 +366,7 @@
         if heartbeat.hub || heartbeat.leaving {
             return Some(self.heartbeat_ack(&heartbeat, Vec::new(), Vec::new()));
         }
-        self.note_held_leases(&heartbeat, &image);
+        self.adopt_reported_leases(&heartbeat, &image);
         for observation in heartbeat.observations.iter().filter(|observation| observation.lost_since_admission > 0) {
             self.record_lost_entries(&image, &observation.server, observation.lost_since_admission);
         }
@@ -360,6 +375,7 @@
         Some(self.heartbeat_ack(&heartbeat, primary_leases, shares))
     }
 
+    /// The acknowledgement of a heartbeat.
     fn heartbeat_ack(
         &self,
         heartbeat: &NodeHeartbeat,
@@ -376,6 +392,7 @@
         }
     }
 
+    /// Grants a node the leases on the primaries of all groups where leases may be granted.
     fn grant_primary_leases(
         &self,
         heartbeat: &NodeHeartbeat,
@@ -404,6 +421,7 @@
         leases
     }
 
+    /// Grants a node its shares of all servers' connections.
     fn grant_shares(&self, heartbeat: &NodeHeartbeat, image: &Image, now: Duration) -> Vec<wire::ShareGrant> {
         let mut grants = Vec::new();
         let mut table = self.leases.borrow_mut();
@@ -413,10 +431,10 @@
             for server in &group.servers {
                 let cold = self.servers.borrow().get(server).map_or(0.0, |record| record.cold);
                 let cold = if self.disabled.no_ramp { 0.0 } else { cold };
-                let cap = leases::cap(group.cap, cold);
+                let cap = leases::shareable_connections(group.cap, cold);
                 let leases::Share { count, scarce, sharers } = match self.disabled.no_ledger {
                     true => leases::Share { count: cap, scarce: false, sharers: 1 },
-                    // A cold server's cap is what it bears, not what it guards.
+                    // A cold server's reduced cap is what it can handle; the server itself enforces only its full cap.
                     false => table.share(server, holder, cap, now, until, group.confirms && cold == 0.0),
                 };
                 let valid_ms = self.bounds.lease_duration().as_millis() as u64;
@@ -426,7 +444,7 @@
         grants
     }
 
-    /// Watches for servers and nodes that fall silent.
+    /// Marks silent servers as gone, and forgets silent nodes.
     async fn detect_silence(&self) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat()).await;
@@ -445,7 +463,7 @@
             }
             changed |= self.forget_servers(now);
             self.nodes.borrow_mut().retain(|_, record| now.saturating_sub(record.last_heartbeat) < gone_after * 2);
-            // Nodes that come and go together are told of together.
+            // Nodes that come or go at the same time are published together.
             changed |= *self.published_nodes.borrow() != self.nodes_to_publish();
             if changed {
                 self.publish_soon();
@@ -453,13 +471,14 @@
         }
     }
 
-    /// Forgets servers that are in no group and have been gone for long enough that no report of theirs is under way.
+    /// Forgets servers that are in no group and have been gone for so long that no report of theirs can be in transit.
+    /// Returns whether there were any.
     fn forget_servers(&self, now: Duration) -> bool {
         let Some(image) = self.consensus.image() else { return false };
         let mut servers = self.servers.borrow_mut();
         let before = servers.len();
         let forget_after = self.bounds.server_gone_after() * FORGET_AFTER_FACTOR;
-        // What an earlier leading hub told of is counted from when this one began to lead.
+        // For servers taken over from an earlier leader the time counts from the start of this term.
         let since = self.consensus.term().1;
         servers.retain(|name, record| {
             !record.gone
@@ -469,7 +488,8 @@
         servers.len() != before
     }
 
-    pub(crate) fn log(&self, part: Component, text: impl AsRef<str>) {
-        self.env.log(part, text);
+    /// Writes a log line.
+    pub(crate) fn log(&self, component: Component, text: impl AsRef<str>) {
+        self.env.log(component, text);
     }
 }
--- a/hub/src/leadership/registration.rs
+++ b/hub/src/leadership/registration.rs
@@ -1,32 +1,35 @@
+//! Registration of servers in the groups whose servers confirm commits.
+
 use base::{ErrorKind, runtime::Component};
 use wire::{Group, GroupMembership, Image, ServerAddress};
 
 use super::Leadership;
 
-/// A server that made itself known and is to be written into its group.
+/// A server that reported itself and is to be added to its group.
 struct Registration {
     group: String,
     server: String,
-    /// Whose address it has.
+    /// The server that had the same address before, if any.
     replaces: Option<String>,
     address: ServerAddress,
 }
 
 impl Registration {
+    /// The log line for the registration.
     fn text(&self) -> String {
         let Self { group, server, .. } = self;
         match &self.replaces {
-            Some(replaced) => format!("{server} is in the place of {replaced} in {group}"),
-            None => format!("{server} is of {group}"),
+            Some(replaced) => format!("{server} replaces {replaced} in {group}"),
+            None => format!("{server} is registered in {group}"),
         }
     }
 }
 
 impl Leadership {
-    /// Writes servers that made themselves known into the groups that are open to them, all that are known at a time in
-    /// one change. A server is written in the place of one that had its address, as that one's log is at it. One that left
-    /// is taken out when it can hold nothing alone; one that fell silent never, so that the number of logs an election
-    /// must read does not shrink.
+    /// Adds servers that reported themselves to their groups, all pending ones in one change. A server replaces the one
+    /// that had the same address, because the log at that address is the same. A deregistered server is removed once it
+    /// can't be the only one to hold an entry; a server that fell silent is never removed, so that the number of logs
+    /// that an election must read does not shrink.
     pub(super) async fn register_servers(&self) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat() / 2).await;
@@ -36,24 +39,24 @@
             }
             let open = || image.groups.iter().filter(|group| group.confirms);
             if let Some((group, removable)) = open().find_map(|group| self.removable_server(group)) {
-                let text = format!("{removable} has left {group}: what it held is held by those who stay");
+                let text = format!("{removable} has left {group}: the remaining servers hold all that it held");
                 if self.consensus.propose(move |image| remove_server(image, &group, &removable)).await.is_ok() {
                     self.log(Component::Elect, text);
                     self.publish_soon();
                 }
                 continue;
             }
-            let recruits: Vec<Registration> = open().flat_map(|group| self.pending_registrations(group)).collect();
+            let registrations: Vec<Registration> = open().flat_map(|group| self.pending_registrations(group)).collect();
             let complete = self.newly_complete(&image);
-            if recruits.is_empty() && complete.is_empty() {
+            if registrations.is_empty() && complete.is_empty() {
                 continue;
             }
-            let mut log_lines: Vec<String> = recruits.iter().map(Registration::text).collect();
+            let mut log_lines: Vec<String> = registrations.iter().map(Registration::text).collect();
             log_lines.extend(complete.iter().map(|membership| {
-                format!("the {} servers of {} are all there are", membership.servers, membership.group)
+                format!("the list of the {} servers of {} is complete", membership.servers, membership.group)
             }));
-            let has_registrations = !recruits.is_empty();
-            if self.consensus.propose(move |image| register(image, &recruits, &complete)).await.is_ok() {
+            let has_registrations = !registrations.is_empty();
+            if self.consensus.propose(move |image| register(image, &registrations, &complete)).await.is_ok() {
                 log_lines.iter().for_each(|line| self.log(Component::Elect, line));
                 if has_registrations {
                     self.publish_soon();
@@ -62,8 +65,8 @@
         }
     }
 
-    /// A server that has left and can hold nothing alone any more: the leader was read since, and another who stays holds
-    /// all that it held then.
+    /// The group and name of a deregistered server that can't be the only one to hold an entry: the primary was read
+    /// since, and another remaining server holds everything that the primary held then.
     fn removable_server(&self, group: &Group) -> Option<(String, String)> {
         let records = self.servers.borrow();
         let statuses = self.server_statuses.borrow();
@@ -87,7 +90,7 @@
         Some((group.name.clone(), departed.clone()))
     }
 
-    /// The servers to be written into a group, each with the one whose address it has.
+    /// The servers to be added to a group, each with the one that it replaces.
     fn pending_registrations(&self, group: &Group) -> Vec<Registration> {
         let records = self.servers.borrow();
         let registration = |server: &String| {
@@ -106,7 +109,7 @@
     }
 }
 
-/// Takes a server out; whether the list that is left is complete has to be found anew.
+/// Removes a server from a group; the remaining list has to be found complete again.
 fn remove_server(image: &Image, group_name: &str, server: &str) -> Result<Image, ErrorKind> {
     let mut image = image.clone();
     let group = image.groups.iter_mut().find(|group| group.name == group_name).ok_or(ErrorKind::VersionConflict)?;
@@ -120,9 +123,10 @@
     Ok(image)
 }
 
-fn register(image: &Image, recruits: &[Registration], complete: &[GroupMembership]) -> Result<Image, ErrorKind> {
+/// Adds servers to their groups, and records which lists of servers are complete.
+fn register(image: &Image, registrations: &[Registration], complete: &[GroupMembership]) -> Result<Image, ErrorKind> {
     let mut image = image.clone();
-    for registration in recruits {
+    for registration in registrations {
         let Some(group) = image.groups.iter_mut().find(|group| group.name == registration.group) else { continue };
         if group.servers.contains(&registration.server) {
             continue;
@@ -133,7 +137,7 @@
         image.server_addresses.push(registration.address.clone());
     }
     for membership in complete {
-        // A list that changed meanwhile is looked at again.
+        // A list that changed meanwhile is checked again later.
         let same = image
             .groups
             .iter()
--- a/hub/src/leadership/registry.rs
+++ b/hub/src/leadership/registry.rs
@@ -1,28 +1,35 @@
+//! Records of the servers and nodes that report to the leader.
+
 use std::{collections::BTreeMap, time::Duration};
 
 use base::edge::backend::ServerReport;
 use wire::{Node, NodeHeartbeat, Server, ServerAddress, ServerObservation};
 
-/// A server as it last told of itself.
+/// A server as it last reported itself.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     pub zone: String,
+    /// The server's address, an IP address with a port.
     pub addr: String,
     pub draining: bool,
+    /// How cold the server is, from 0 (warm) to 1.
     pub cold: f64,
     pub is_primary: bool,
     pub epoch: u64,
+    /// When the last report arrived.
     pub last_report: Duration,
+    /// Deregistered, or silent for longer than `server_gone_after`.
     pub gone: bool,
-    /// The group it makes itself known for, if it does.
+    /// The group that the server reports itself for; may be empty.
     pub group: String,
+    /// The sequence number of the last report; 0 if the server sends none.
     pub report_seq: u64,
-    /// It said that it ends.
+    /// The server reported that it ends.
     pub deregistered: bool,
 }
 
 impl ServerRecord {
-    /// From the server's report.
+    /// Builds the record from the server's report.
     pub fn from_report(report: &ServerReport, now: Duration) -> Self {
         Self {
             zone: report.area.clone(),
@@ -39,7 +46,7 @@
         }
     }
 
-    /// From news that an earlier leading hub sent.
+    /// Builds the record from a snapshot of an earlier leader.
     pub fn from_snapshot(server: &Server, now: Duration) -> Self {
         Self {
             zone: server.zone.clone(),
@@ -56,7 +63,7 @@
         }
     }
 
-    /// From what was written down when the server was written into its group.
+    /// Builds the record from the address that was recorded when the server was registered in its group.
     pub fn from_address(server: &ServerAddress, group: &str, now: Duration) -> Self {
         Self {
             zone: server.zone.clone(),
@@ -73,17 +80,18 @@
         }
     }
 
-    /// Where it stands.
+    /// The server's address as it is recorded in the image.
     pub fn server_address(&self, name: &str) -> ServerAddress {
         ServerAddress { server: name.into(), addr: self.addr.clone(), zone: self.zone.clone() }
     }
 
-    /// Coldness in twentieths, so that warming up is not news at every report.
+    /// How cold the server is, in thousandths, rounded up to steps of 50 so that a server that warms up does not cause
+    /// a snapshot with every report.
     fn cold_step(&self) -> u32 {
         (self.cold * 20.0).ceil() as u32 * 50
     }
 
-    /// Whether nothing changed that nodes need to hear.
+    /// Whether the two records are the same in everything that is published to nodes.
     pub fn same_published(&self, other: &ServerRecord) -> bool {
         self.zone == other.zone
             && self.addr == other.addr
@@ -96,7 +104,7 @@
             && self.cold_step() == other.cold_step()
     }
 
-    /// As it goes into the news.
+    /// The record as it is published in a snapshot.
     pub fn to_message(&self, name: &str) -> Server {
         Server {
             name: name.into(),
@@ -114,18 +122,19 @@
     }
 }
 
-/// A node whose session stands.
+/// A node as of its last heartbeat.
 #[derive(Clone, Debug)]
 pub struct NodeRecord {
     pub node: Node,
+    /// When the last heartbeat arrived.
     pub last_heartbeat: Duration,
-    /// What it sees of servers, by their names.
+    /// The node's observations of servers, by server.
     pub observations: BTreeMap<String, ServerObservation>,
     pub is_control_node: bool,
 }
 
 impl NodeRecord {
-    /// From the node's beat.
+    /// Builds the record from the node's heartbeat.
     pub fn from_heartbeat(heartbeat: &NodeHeartbeat, now: Duration) -> Self {
         let node = Node {
             name: heartbeat.name.clone(),
@@ -135,15 +144,15 @@
             parent: heartbeat.parent.clone(),
             depth: heartbeat.depth,
         };
-        let sights = heartbeat
+        let observations = heartbeat
             .observations
             .iter()
             .map(|observation| (observation.server.clone(), observation.clone()))
             .collect();
-        Self { node, last_heartbeat: now, observations: sights, is_control_node: heartbeat.hub }
+        Self { node, last_heartbeat: now, observations, is_control_node: heartbeat.hub }
     }
 
-    /// Whether the node has had no answer from a server for a span.
+    /// Whether the node has had no response from a server for longer than `max_age`, or doesn't observe it.
     pub fn cannot_reach(&self, server: &str, now: Duration, max_age: Duration) -> bool {
         let observation = self.observations.get(server);
         observation.is_none_or(|observation| {
@@ -151,7 +160,7 @@
         })
     }
 
-    /// From news that an earlier leading hub sent.
+    /// Builds the record from a snapshot of an earlier leader.
     pub fn from_snapshot(node: &Node, now: Duration) -> Self {
         Self { node: node.clone(), last_heartbeat: now, observations: BTreeMap::new(), is_control_node: false }
     }
--- a/hub/src/leadership/rows.rs
+++ b/hub/src/leadership/rows.rs
@@ -1,10 +1,12 @@
+//! What operators read of the leader's state, as JSON.
+
 use base::{http::HttpResponse, strict};
 use nanoserde::SerJson;
 
 use super::Leadership;
 
 strict! {
-    /// A node as operators read it.
+    /// A node.
     pub struct NodeRow {
         pub name: String,
         pub area: String,
@@ -17,7 +19,7 @@
 }
 
 strict! {
-    /// A server as operators read it.
+    /// A server.
     pub struct ServerRow {
         pub name: String,
         pub group: String,
@@ -32,7 +34,7 @@
 }
 
 strict! {
-    /// A group's leadership as operators read it.
+    /// A group's leadership status.
     pub struct LeadershipRow {
         pub group: String,
         pub server: String,
@@ -44,7 +46,7 @@
 }
 
 strict! {
-    /// A share of a server's connections that is out.
+    /// A node's outstanding share of a server's connections.
     pub struct ShareRow {
         pub server: String,
         pub node: String,
@@ -52,12 +54,13 @@
     }
 }
 
+/// A JSON response with a list of rows.
 fn json<T: SerJson>(rows: Vec<T>) -> HttpResponse {
     HttpResponse::new(200, rows.serialize_json()).with_header("content-type", "application/json")
 }
 
 impl Leadership {
-    /// The nodes whose sessions stand.
+    /// The nodes that send heartbeats.
     pub fn node_rows(&self) -> HttpResponse {
         let now = self.env.now();
         let nodes = self.nodes.borrow();
@@ -73,7 +76,7 @@
         json(nodes.values().map(row).collect())
     }
 
-    /// The servers as last told.
+    /// The servers as last reported.
     pub fn server_rows(&self) -> HttpResponse {
         let now = self.env.now();
         let image = self.consensus.image();
@@ -96,7 +99,7 @@
         json(servers.iter().map(row).collect())
     }
 
-    /// Who leads each group.
+    /// The leadership status of each group.
     pub fn leadership_rows(&self) -> HttpResponse {
         let image = self.consensus.image();
         let rows = self.group_leadership().into_iter().map(|(group, leadership)| LeadershipRow {
@@ -114,7 +117,7 @@
         json(rows.collect())
     }
 
-    /// Which shares are out.
+    /// The outstanding shares.
     pub fn share_rows(&self) -> HttpResponse {
         let rows = self.leases.borrow().out(self.env.now());
         json(rows.into_iter().map(|(server, node, count)| ShareRow { server, node, count }).collect())
--- a/hub/src/leadership/sampling.rs
+++ b/hub/src/leadership/sampling.rs
@@ -1,3 +1,6 @@
+//! Connections from the leading control node to the servers: it samples their log positions and sends orders to servers
+//! that confirm commits.
+
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use base::{
@@ -11,67 +14,70 @@
 
 use super::Leadership;
 
-/// What the hub read of a server on its own connection.
+/// A sample of a server's log, read on this control node's own connection.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSample {
-    /// When the reading was asked for.
+    /// When the sample was requested.
     pub requested_at: Duration,
-    /// When it came.
+    /// When it was received.
     pub received_at: Duration,
+    /// The end of the log.
     pub position: Position,
     pub is_primary: bool,
-    /// The identity of the log.
+    /// The random id of the log.
     pub log_id: u64,
 }
 
-/// What passes between this hub and a server that confirms.
+/// The state of the connection to a server that confirms commits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerStatus {
-    /// What it showed, and when it was asked.
+    /// The last reported status, and when it was requested.
     pub last_status: Option<(Duration, ReplicationStatus)>,
-    /// When it last answered anything.
+    /// When the server last answered anything.
     pub last_response: Option<Duration>,
-    /// Since when a question to it stands unanswered.
+    /// Since when a request has been unanswered.
     pub unanswered_since: Option<Duration>,
-    /// How often in a row nobody listened at its address.
+    /// How often in a row the connection was refused at once.
     pub refusals: u32,
-    /// What it is to be told next.
+    /// The statement to send next.
     pub pending_order: Option<StatementKind>,
-    /// What it showed as it was kept from receiving.
+    /// The status that the server reported when it suspended replication or stepped down, until the next order.
     pub suspended_status: Option<ReplicationStatus>,
 }
 
 impl Leadership {
-    /// Keeps one reading task for each server of the image.
+    /// Keeps one sampling task for each server in a group.
     pub(super) async fn sample_servers(self: Rc<Self>) {
         let mut tasks: BTreeMap<String, (String, TaskGuard)> = BTreeMap::new();
         loop {
             let addresses: BTreeMap<String, (String, Option<String>)> = {
                 let image = self.consensus.image();
                 let servers = self.servers.borrow();
-                let row = |group: &wire::Group, server: &String| {
+                let target = |group: &wire::Group, server: &String| {
                     let record = servers.get(server).filter(|record| !record.deregistered)?;
                     Some((server.clone(), (record.addr.clone(), group.confirms.then(|| group.name.clone()))))
                 };
-                let rows = image.iter().flat_map(|image| {
+                let targets = image.iter().flat_map(|image| {
                     image
                         .groups
                         .iter()
-                        .flat_map(|group| group.servers_and_leaving().filter_map(|server| row(group, server)))
+                        .flat_map(|group| group.servers_and_leaving().filter_map(|server| target(group, server)))
                 });
-                rows.collect()
+                targets.collect()
             };
             tasks.retain(|server, (address, _)| addresses.get(server).is_some_and(|entry| entry.0 == *address));
             for (server, (address, group)) in addresses {
                 let Ok(socket) = address.parse() else { continue };
                 tasks.entry(server.clone()).or_insert_with(|| {
-                    let me = self.clone();
+                    let leadership = self.clone();
                     let protocol = self.server_protocol.clone();
                     let task = self.env.spawn(async move {
                         match (group, protocol) {
-                            (Some(group), Some(protocol)) => me.run_connection(server, socket, group, protocol).await,
+                            (Some(group), Some(protocol)) => {
+                                leadership.run_connection(server, socket, group, protocol).await
+                            }
                             (Some(_), None) => {}
-                            _ => me.sample_log(server, socket).await,
+                            _ => leadership.sample_log(server, socket).await,
                         }
                     });
                     (address, task)
@@ -81,9 +87,10 @@
         }
     }
 
+    /// Samples the log of one server of a group whose primary is elected here.
     async fn sample_log(&self, server: String, address: SocketAddr) {
         let timeout = self.bounds.call_timeout();
-        let mut refused = 0;
+        let mut refusals = 0;
         loop {
             let start = self.env.now();
             if let Ok(mut connection) = Client::connect(&self.env, address, timeout, 1 << 16).await {
@@ -97,7 +104,7 @@
                     if let ResponseMetadata { position: Some(position), is_primary, log_id, .. } = metadata {
                         let sample =
                             LogSample { requested_at, received_at: self.env.now(), position, is_primary, log_id };
-                        refused = 0;
+                        refusals = 0;
                         self.refusing_servers.borrow_mut().remove(&server);
                         self.record_sample(&server, sample);
                         self.state_changed.notify_waiters();
@@ -110,19 +117,20 @@
                     }
                 }
             }
-            refused = if self.env.now() - start < timeout / 4 { refused + 1 } else { 0 };
-            if refused > 1 {
+            refusals = if self.env.now() - start < timeout / 4 { refusals + 1 } else { 0 };
+            if refusals > 1 {
                 self.refusing_servers.borrow_mut().insert(server.clone());
             }
             self.env.sleep(self.bounds.sampling_interval() / 2).await;
         }
     }
 
+    /// Changes the connection state of a server.
     fn update_status(&self, server: &str, update: impl FnOnce(&mut ServerStatus)) {
         update(self.server_statuses.borrow_mut().entry(server.into()).or_default());
     }
 
-    /// Reads one server that confirms, and tells it what it is ordered.
+    /// Keeps a connection to one server that confirms commits, and counts failed attempts.
     async fn run_connection(
         &self,
         server: String,
@@ -138,7 +146,7 @@
             if let Ok(Ok(mut connection)) = connection {
                 self.poll_connection(&server, &mut *connection).await;
             } else if let Ok(Err(CallError::OutcomeUnknown)) = connection {
-                // It turns sessions away, being full: it lives.
+                // The server is alive but rejects sessions because it is full.
                 let now = self.env.now();
                 self.update_status(&server, |status| {
                     *status = ServerStatus { unanswered_since: None, refusals: 0, last_response: Some(now), ..*status }
@@ -153,6 +161,7 @@
         }
     }
 
+    /// Requests a server's status, or sends the queued order, until the connection fails.
     async fn poll_connection(&self, server: &str, connection: &mut dyn ServerConnection) {
         let timeout = self.bounds.call_timeout();
         while connection.is_open() {
@@ -181,7 +190,7 @@
             });
             self.state_changed.notify_waiters();
             let busy = reply.status.is_none();
-            // Nothing is asked more often than urgent readings are.
+            // No request is sent more often than urgent samples.
             self.env.sleep(self.bounds.sampling_interval() / 10).await;
             let urgent_or_order = self.state_changed.wait_until(|| {
                 let order =
--- a/hub/src/leases.rs
+++ b/hub/src/leases.rs
@@ -1,58 +1,64 @@
-//! Leases that the leading control node has out: shares of servers' connections, and the right to use a group's primary.
-//! Leases name the run of the node's process that they were given to, so that word of an earlier run changes nothing.
+//! Leases that the leader has granted: shares of servers' connections, and the right to use a group's primary.
+//!
+//! Each lease carries the boot id of the node's process that it was granted to, so that a delayed heartbeat of an
+//! earlier process changes nothing.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use wire::{NodeHeartbeat, OutstandingLease};
 
-/// Connections of each server that control nodes keep for reading positions.
+/// Connections of each server that are reserved for control nodes, which sample positions over them.
 const RESERVED_CONNECTIONS: u64 = 3;
 
-/// In which part of a lease's span the shares of a server are worked out anew.
+/// How often per lease duration the division of a server's connections is computed again.
 const DIVISIONS_PER_LEASE: u32 = 16;
 
-/// The most that one node gets of a scarce server which guards its own cap, as a part of the cap.
+/// Where connections are scarce and the server enforces its own cap, one node gets at most this fraction of the cap.
 const SCARCE_CAP_DIVISOR: u64 = 8;
 
-/// How many connections nodes may share out, by the cap and how cold the server is.
-pub fn cap(cap: u64, cold: f64) -> u64 {
+/// How many connections of a server are divided among nodes; `cold` runs from 0 (warm) to 1. At least 1.
+pub fn shareable_connections(cap: u64, cold: f64) -> u64 {
     let available = cap.saturating_sub(RESERVED_CONNECTIONS).max(1);
     ((available as f64 * (1.0 - cold)).floor() as u64).clamp(1, available)
 }
 
-/// The run of a node's process that gets a lease, and the heartbeat that the lease answers.
+/// The node process that a lease is granted to, and the heartbeat that the grant answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Holder<'a> {
+    /// The node's name.
     pub node: &'a str,
-    /// A random number of the run.
+    /// The random boot id of the node's process.
     pub boot: u64,
+    /// The nonce of the heartbeat.
     pub nonce: u64,
 }
 
-/// What a node gets of a server's connections.
+/// A node's share of a server's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
+    /// How many connections the node may open.
     pub count: u64,
-    /// More nodes want a connection than there are: one that rests is to be given back soon.
+    /// More nodes than there are connections want one, so an idle connection should be released soon.
     pub scarce: bool,
     /// How many nodes share the server's connections.
     pub sharers: u64,
 }
 
-/// A share of a server's connections that may be out.
+/// A share of a server's connections that may be outstanding.
 #[derive(Clone, Default)]
 struct ShareLease {
     boot_id: u64,
     count: u64,
     expires_at: Duration,
+    /// How many connections the node wants.
     wanted: u64,
-    /// The heartbeat that the newest return answered.
+    /// The nonce of the heartbeat that the latest acknowledgement answered.
     nonce: u64,
-    /// When the want was last told.
+    /// When the node last reported `wanted`.
     wanted_at: Duration,
 }
 
-/// The right to use a group's primary, as it may be out.
+/// A right to use a group's primary that may be outstanding.
 #[derive(Clone, Copy)]
 struct PrimaryLease {
     boot_id: u64,
@@ -60,73 +66,77 @@
     expires_at: Duration,
 }
 
-/// How a server's connections are divided among nodes, by what they want.
+/// How a server's connections are divided among the nodes that want them.
 struct Division {
     expires_at: Duration,
     cap: u64,
     parts: BTreeMap<String, u64>,
 }
 
-/// What has been given to whom and until when it counts as out.
+/// All granted leases, with their holders and expiry times.
 #[derive(Default)]
 pub struct LeaseTable {
-    /// Before this an earlier leader's leases may stand.
+    /// Until then shares that an earlier leader granted may be in force.
     unknown_shares_until: Duration,
-    /// Before this an earlier leader's leases on primaries may stand, beside those that are noted.
+    /// Until then leases on primaries that an earlier leader granted may be in force, besides those in the table.
     unknown_primaries_until: Duration,
     shares: BTreeMap<String, BTreeMap<String, ShareLease>>,
-    /// Worked out once a while for all nodes, not for each.
+    /// Computed at intervals for all nodes together rather than for each heartbeat.
     divisions: BTreeMap<String, Division>,
     primaries: BTreeMap<String, BTreeMap<String, PrimaryLease>>,
 }
 
 impl LeaseTable {
-    /// A table whose unknown leases have run out at `grace`.
-    pub fn new(grace: Duration) -> Self {
-        Self { unknown_shares_until: grace, unknown_primaries_until: grace, ..Self::default() }
+    /// A table for a new leader; all leases of earlier leaders have expired at `expiry`.
+    pub fn new(expiry: Duration) -> Self {
+        Self { unknown_shares_until: expiry, unknown_primaries_until: expiry, ..Self::default() }
     }
 
-    /// A table that takes on the leases on primaries which the leader before told of at `at`.
-    pub fn inherit(grace: Duration, at: Duration, left: &[OutstandingLease]) -> Self {
-        let mut table = Self { unknown_shares_until: grace, ..Self::default() };
+    /// A table that starts with the leases on primaries that the previous leader reported at `reported_at`. An entry
+    /// without a group states for how long unreported leases may still be in force.
+    pub fn inherit(expiry: Duration, reported_at: Duration, left: &[OutstandingLease]) -> Self {
+        let mut table = Self { unknown_shares_until: expiry, ..Self::default() };
         for lease in left {
             if lease.group.is_empty() {
-                table.unknown_primaries_until = at + Duration::from_millis(lease.remaining_ms);
+                table.unknown_primaries_until = reported_at + Duration::from_millis(lease.remaining_ms);
                 continue;
             }
             let holder = Holder { node: &lease.node, boot: lease.boot_id, nonce: lease.nonce };
-            table.give_primary(&lease.group, holder, at + Duration::from_millis(lease.remaining_ms));
+            table.give_primary(&lease.group, holder, reported_at + Duration::from_millis(lease.remaining_ms));
         }
         table
     }
 
-    /// The leases on primaries that may still stand, for a successor. Only one that knows of all can tell.
+    /// The leases on primaries that may still be in force, for the next leader. While there may be unreported ones, the
+    /// first entry has no group and states their remaining time.
     pub fn left(&self, now: Duration) -> Vec<OutstandingLease> {
-        let mut out = Vec::new();
+        let mut outstanding = Vec::new();
         if self.unknown_primaries_until > now {
-            // Of a holder earlier still, nobody knows which nodes have any.
+            // It is unknown which nodes hold leases of a leader before the previous one.
             let remaining_ms = (self.unknown_primaries_until - now).as_millis() as u64 + 1;
-            out.push(OutstandingLease { remaining_ms, ..OutstandingLease::default() });
+            outstanding.push(OutstandingLease { remaining_ms, ..OutstandingLease::default() });
         }
         for (group, holders) in &self.primaries {
             for (node, lease) in holders.iter().filter(|(_, lease)| now < lease.expires_at) {
                 let remaining_ms = (lease.expires_at - now).as_millis() as u64 + 1;
                 let (node, boot_id, nonce) = (node.clone(), lease.boot_id, lease.nonce);
-                out.push(OutstandingLease { group: group.clone(), node, nonce, remaining_ms, boot_id });
+                outstanding.push(OutstandingLease { group: group.clone(), node, nonce, remaining_ms, boot_id });
             }
         }
-        out
+        outstanding
     }
 
-    /// Takes in what a node says it still holds. Word of one run of its process lowers only what that run was given; what
-    /// an earlier run was given runs out by itself.
-    pub fn told(&mut self, beat: &NodeHeartbeat, now: Duration) {
-        for held in &beat.shares {
-            let lease = self.shares.entry(held.server.clone()).or_default().entry(beat.name.clone()).or_default();
+    /// Processes what a node reports in a heartbeat that it holds. A heartbeat reduces only leases that were granted to
+    /// the same process of the node; those of an earlier process expire.
+    pub fn told(&mut self, heartbeat: &NodeHeartbeat, now: Duration) {
+        for held in &heartbeat.shares {
+            let lease = self.shares.entry(held.server.clone()).or_default().entry(heartbeat.name.clone()).or_default();
             lease.wanted = held.want;
             lease.wanted_at = now;
-            // A heartbeat tells of the past: only a count it holds after the newest return lowers what is out.
-            if held.count < lease.count && beat.boot_id == lease.boot_id && beat.last_ack_nonce >= lease.nonce {
+            // A heartbeat describes the past: only a count that the node held after the latest acknowledgement reduces
+            // the outstanding count.
+            if held.count < lease.count && heartbeat.boot_id == lease.boot_id && heartbeat.last_ack_nonce >= lease.nonce
+            {
                 lease.count = held.count;
             }
             if now < self.unknown_shares_until {
@@ -134,47 +144,50 @@
             }
         }
         for (group, holders) in &mut self.primaries {
-            let Some(lease) = holders.get(&beat.name).filter(|lease| lease.boot_id == beat.boot_id) else { continue };
-            let handed_back =
-                beat.last_ack_nonce > lease.nonce && !beat.primary_leases.iter().any(|l| l.group == *group);
-            if beat.leaving || handed_back {
-                holders.remove(&beat.name);
+            let Some(lease) = holders.get(&heartbeat.name).filter(|lease| lease.boot_id == heartbeat.boot_id) else {
+                continue;
+            };
+            let handed_back = heartbeat.last_ack_nonce > lease.nonce
+                && !heartbeat.primary_leases.iter().any(|granted| granted.group == *group);
+            if heartbeat.leaving || handed_back {
+                holders.remove(&heartbeat.name);
             }
         }
-        if beat.leaving {
+        if heartbeat.leaving {
             for holders in self.shares.values_mut() {
-                if holders.get(&beat.name).is_some_and(|lease| lease.boot_id == beat.boot_id) {
-                    holders.remove(&beat.name);
+                if holders.get(&heartbeat.name).is_some_and(|lease| lease.boot_id == heartbeat.boot_id) {
+                    holders.remove(&heartbeat.name);
                 }
             }
         }
     }
 
-    /// Notes a lease on a group's primary.
+    /// Records a lease on a group's primary that expires at `until`.
     pub fn give_primary(&mut self, group: &str, holder: Holder, until: Duration) {
         let lease = PrimaryLease { boot_id: holder.boot, nonce: holder.nonce, expires_at: until };
         self.primaries.entry(group.into()).or_default().insert(holder.node.into(), lease);
     }
 
-    /// Whether no lease on a group's primary can still stand.
+    /// Whether no lease on a group's primary can be in force.
     pub fn primary_free(&self, group: &str, now: Duration) -> bool {
         now >= self.unknown_primaries_until && self.primary_holders(group, now).is_empty()
     }
 
-    /// As [`LeaseTable::primary_free`]; where no earlier leader can have given any for another server (`known`), only
-    /// this one's count.
-    pub fn primary_released(&self, group: &str, now: Duration, known: bool) -> bool {
-        (known || now >= self.unknown_primaries_until) && self.primary_holders(group, now).is_empty()
+    /// Like [`LeaseTable::primary_free`]. If no earlier leader can have granted a lease on another server
+    /// (`no_unknown_leases`), only the leases in the table are considered.
+    pub fn primary_released(&self, group: &str, now: Duration, no_unknown_leases: bool) -> bool {
+        (no_unknown_leases || now >= self.unknown_primaries_until) && self.primary_holders(group, now).is_empty()
     }
 
-    /// The nodes that may hold a lease on a group's primary, as far as this leader knows.
+    /// The nodes that may hold a lease on a group's primary according to the table.
     pub fn primary_holders(&self, group: &str, now: Duration) -> Vec<String> {
         let leases = self.primaries.get(group).into_iter().flatten();
         leases.filter(|(_, lease)| now < lease.expires_at).map(|(node, _)| node.clone()).collect()
     }
 
-    /// Gives a node its share of a server. `soft`: the server itself turns away what is over its cap, so that every node
-    /// may try where connections are scarce; else never more is given than is not out elsewhere.
+    /// Grants a node its share of a server until `until`. With `server_enforces_cap` the server itself rejects
+    /// connections over its cap, so that every node may try where connections are scarce. Otherwise never more
+    /// connections are granted than other nodes leave over.
     pub fn share(
         &mut self,
         server: &str,
@@ -197,11 +210,11 @@
             (_, true) if scarce => wanted.min((cap / SCARCE_CAP_DIVISOR).max(1)),
             (false, _) => fair_count.min(cap.saturating_sub(self.held_by_others(server, holder.node, now))),
             (true, false) => held.min(cap),
-            // What is out besides can't be known yet.
+            // What other nodes hold is not known yet.
             (true, true) => held.max(fair_count).min(cap),
         };
         let lease = self.shares.entry(server.into()).or_default().entry(holder.node.into()).or_default();
-        // What was given stays out until the node tells that it holds less, or until it has run out.
+        // A granted count stays outstanding until the node reports that it holds less, or until the lease has expired.
         lease.count = lease.count.max(count);
         lease.expires_at = until;
         lease.nonce = holder.nonce;
@@ -215,7 +228,7 @@
         leases.filter(|(_, lease)| now < lease.expires_at).map(|(_, lease)| lease.count).sum()
     }
 
-    /// A node's part of a server's connections, by what all nodes want, and among how many they are divided.
+    /// A node's fair share of a server's connections, and the number of nodes among which they are divided.
     fn fair_share(&mut self, server: &str, node: &str, cap: u64, now: Duration, until: Duration) -> (u64, u64) {
         let is_current = |division: &&Division| {
             now < division.expires_at && division.cap == cap && division.parts.contains_key(node)
@@ -229,7 +242,8 @@
             .map_or((0, 1), |division| (division.parts.get(node).copied().unwrap_or(0), division.parts.len() as u64))
     }
 
-    /// Works out the parts of all nodes that told of a server lately, and forgets the others.
+    /// Divides a server's connections among all nodes that reported recently that they want some, and forgets the
+    /// others.
     fn divide(&mut self, server: &str, cap: u64, now: Duration, until: Duration) -> Division {
         let lease_duration = until - now;
         let leases = self.shares.entry(server.into()).or_default();
@@ -241,7 +255,7 @@
         Division { expires_at: now + lease_duration / DIVISIONS_PER_LEASE, cap, parts }
     }
 
-    /// What is out now: server, node, count.
+    /// The outstanding shares: server, node, count.
     pub fn out(&self, now: Duration) -> Vec<(String, String, u64)> {
         let shares = self
             .shares
@@ -254,7 +268,8 @@
     }
 }
 
-/// Divides a cap by wants: everyone gets what it wants up to an even part, the rest goes to those who want more.
+/// Divides a cap max-min fairly: each node gets what it wants up to an even share, and the rest goes to the nodes that
+/// want more.
 fn divide_fairly(demands: &[(&str, u64)], cap: u64) -> BTreeMap<String, u64> {
     let mut sorted: Vec<(u64, &str)> = demands.iter().map(|(name, wanted)| ((*wanted).max(1), *name)).collect();
     sorted.sort();
@@ -270,7 +285,7 @@
     parts
 }
 
-/// Gives one connection each to as many nodes as there are connections; with each turn to the next ones.
+/// Gives one connection each to as many nodes as there are connections; with each rotation to the next nodes.
 fn divide_in_rotation(demands: &[(&str, u64)], cap: u64, rotation: u128) -> BTreeMap<String, u64> {
     let nodes = demands.len().max(1);
     let first_index = (rotation * u128::from(cap) % nodes as u128) as usize;
--- a/hub/src/lib.rs
+++ b/hub/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control plane: agreement on the operator's word, elections of leaders, grants, news.
+//! The control plane: consensus on the configuration, elections of primaries, leases and state snapshots.
 
 pub mod consensus;
 mod forwarding;
--- a/hub/src/main.rs
+++ b/hub/src/main.rs
@@ -1,8 +1,8 @@
-//! The control plane's program.
+//! The program of a control node.
 
 use base::boot;
 
-base::flags!("The control plane of portspoke: keeps the operator's word, elects leaders, gives grants.");
+base::flags!("The control plane of portspoke: keeps the configuration, elects primaries, grants leases.");
 
 #[compio::main]
 async fn main() {
@@ -15,7 +15,7 @@
     let signals = boot::Signals::new().await;
     let env = boot::system_env(settings.data.as_deref());
     if let Some(argument) = &flags.rescue {
-        // A running hub holds its address, and its disk is not to be touched.
+        // A running control node occupies its address; its disk must not be changed.
         if env.listen(config.peer).await.is_err() {
             boot::exit_cannot_start(&format!("{} is in use: stop this control node first", config.peer));
         }
@@ -31,27 +31,29 @@
         Ok(control_node) => control_node,
         Err(error) => boot::exit_cannot_start(&error.to_string()),
     };
-    let take = |config: &base::settings::NodeConfig| {
+    let apply_settings = |config: &base::settings::NodeConfig| {
         control_node.platform(config.platform);
         "platform"
     };
-    signals.until_end(&env, &flags, take).await;
+    signals.until_end(&env, &flags, apply_settings).await;
     control_node.leave().await;
     env.sleep(config.bounds.control_heartbeat()).await;
 }
 
-/// Runs under the users' platform, whose settings file is at `path`.
+/// Runs a control node under the users' platform, whose settings file is at `path`.
 async fn on_platform(flags: &boot::Flags, path: &std::path::Path) {
-    let given = platform::load(path, true).unwrap_or_else(|e| boot::exit_bad_settings(&e));
-    let place = boot::config_or_exit(&given.set, &path.display().to_string());
+    let given = platform::load(path, true).unwrap_or_else(|error| boot::exit_bad_settings(&error));
+    let config = boot::config_or_exit(&given.set, &path.display().to_string());
     boot::exit_if_check_only(flags);
     boot::set_log_level(&given.set.log);
     let signals = boot::Signals::new().await;
     let env = boot::system_env(given.set.data.as_deref());
-    let node = match hub::PlatformHub::start(&env, &given, &place, Default::default()).await {
-        Ok(node) => node,
-        Err(e) => boot::exit_cannot_start(&e.to_string()),
+    let control_node = match hub::PlatformHub::start(&env, &given, &config, Default::default()).await {
+        Ok(control_node) => control_node,
+        Err(error) => boot::exit_cannot_start(&error.to_string()),
     };
-    signals.until_asked(&env, || boot::apply_reread_settings(&env, platform::load(path, true).map(|g| g.set))).await;
-    node.leave().await;
+    signals
+        .until_asked(&env, || boot::apply_reread_settings(&env, platform::load(path, true).map(|given| given.set)))
+        .await;
+    control_node.leave().await;
 }
--- a/hub/src/on_platform.rs
+++ b/hub/src/on_platform.rs
@@ -1,4 +1,4 @@
-//! A hub with the door of the users' platform.
+//! A control node with the control endpoint of the users' platform.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -13,7 +13,7 @@
 
 use crate::{DisabledGuards, Hub, forwarding::LeaderForwarder, operator::MAX_CONCURRENT_ORDERS, run_in, store::Fault};
 
-/// A hub that answers servers and operators in the users' manner.
+/// A control node that also serves servers and operators in the platform's protocol.
 pub struct PlatformHub {
     env: Env,
     pub hub: Hub,
@@ -23,7 +23,8 @@
 }
 
 impl PlatformHub {
-    /// Starts it; it runs for as long as the returned value lives.
+    /// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
+    /// used.
     pub async fn start(env: &Env, given: &Given, config: &NodeConfig, disabled: DisabledGuards) -> Result<Self, Fault> {
         let hub = run_in(env, config, disabled, Some(platform::Speech::shared())).await?;
         let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
@@ -50,7 +51,7 @@
         Ok(Self { env: env.clone(), hub, door: endpoint, config: config.clone(), _tree: tree })
     }
 
-    /// Hands over what this hub does and closes its doors.
+    /// Hands leadership over, closes idle connections and waits for one heartbeat interval of the control nodes.
     pub async fn leave(&self) {
         self.hub.leave().await;
         self.door.close_idle();
--- a/hub/src/operator/apply.rs
+++ b/hub/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! Makes the new state that a set or change asks for, and checks it.
+//! Builds the state that a new configuration or a change of it requests, and checks it.
 
 use base::{
     ErrorKind,
@@ -12,7 +12,7 @@
 
 use crate::run::DisabledGuards;
 
-/// The whole set that is to be in force.
+/// The complete configuration that is requested.
 pub struct RequestedConfiguration {
     routes: Vec<operator::Route>,
     groups: Vec<operator::Group>,
@@ -21,52 +21,53 @@
 }
 
 impl RequestedConfiguration {
-    /// What a whole set asks for.
-    pub fn from_configuration(old: &Image, set: &Configuration) -> Self {
+    /// The result of replacing the whole configuration; limits that it doesn't name stay as they are.
+    pub fn from_configuration(old: &Image, configuration: &Configuration) -> Self {
         Self {
-            routes: set.doorways.clone(),
-            groups: set.groups.clone(),
-            limits: set.limits.clone().unwrap_or_else(|| limits(old)),
-            note: set.note.clone(),
+            routes: configuration.doorways.clone(),
+            groups: configuration.groups.clone(),
+            limits: configuration.limits.clone().unwrap_or_else(|| limits(old)),
+            note: configuration.note.clone(),
         }
     }
 
-    /// What a change to a few items asks for.
+    /// The result of changing some items of the configuration. Fails if the change drops a route that doesn't exist.
     pub fn from_change(old: &Image, change: &ConfigurationChange) -> Result<Self, HttpResponse> {
         let mut routes = operator_routes(old);
         for name in &change.drop {
-            // Where operators number their sets, one that is not there need not be taken out.
-            if change.number.is_none() && !routes.iter().any(|d| d.handle() == name) {
+            // Operators who number their configurations may drop a route that doesn't exist.
+            if change.number.is_none() && !routes.iter().any(|route| route.handle() == name) {
                 return Err(error_response(ErrorKind::Invalid, &format!("drop: no doorway {name:?}"), None));
             }
-            routes.retain(|d| d.handle() != name);
+            routes.retain(|route| route.handle() != name);
         }
         merge(&mut routes, &change.put, |a, b| a.handle() == b.handle());
         let mut groups = operator_groups(old);
-        groups.retain(|g| !change.drop_groups.contains(&g.name));
+        groups.retain(|group| !change.drop_groups.contains(&group.name));
         merge(&mut groups, &change.groups, |a, b| a.name == b.name);
         let note = if change.note.is_empty() { &old.note } else { &change.note };
         Ok(Self { routes, groups, limits: change.limits.clone().unwrap_or_else(|| limits(old)), note: note.clone() })
     }
 }
 
-/// The state with a set in force; its faults where it can't be taken.
-pub fn apply(disabled: DisabledGuards, old: &Image, wanted: RequestedConfiguration) -> Result<Image, HttpResponse> {
-    let mut errors = operator::check(&wanted.routes, &wanted.groups, &wanted.limits);
-    let groups: Vec<wire::Group> = wanted.groups.iter().map(|group| plan_group(old, group, &mut errors)).collect();
+/// The state with the requested configuration in force. Fails with an `Invalid` response that lists all faults.
+pub fn apply(disabled: DisabledGuards, old: &Image, requested: RequestedConfiguration) -> Result<Image, HttpResponse> {
+    let mut errors = operator::check(&requested.routes, &requested.groups, &requested.limits);
+    let groups: Vec<wire::Group> = requested.groups.iter().map(|group| plan_group(old, group, &mut errors)).collect();
     if !errors.is_empty() && !disabled.no_check {
         return Err(error_response(ErrorKind::Invalid, &errors.join("; "), None));
     }
     let mut new = old.clone();
-    new.note = wanted.note;
-    new.routes = wanted.routes.into_iter().map(to_wire_route).collect();
+    new.note = requested.note;
+    new.routes = requested.routes.into_iter().map(to_wire_route).collect();
     new.groups = groups;
     let kept: Vec<String> = new.groups.iter().flat_map(|group| group.servers_and_leaving().cloned()).collect();
     new.logs.retain(|log| kept.contains(&log.server));
-    new.limits = Some(wire::Limits { statement_ms: wanted.limits.statement_ms, idle_ms: wanted.limits.idle_ms });
+    new.limits = Some(wire::Limits { statement_ms: requested.limits.statement_ms, idle_ms: requested.limits.idle_ms });
     Ok(new)
 }
 
+/// Converts a route to the form of the image.
 fn to_wire_route(route: operator::Route) -> wire::Route {
     wire::Route {
         name: route.name,
@@ -82,13 +83,14 @@
     }
 }
 
+/// The limits in force.
 fn limits(image: &Image) -> Limits {
     image
         .limits
         .map_or_else(Limits::default, |limits| Limits { statement_ms: limits.statement_ms, idle_ms: limits.idle_ms })
 }
 
-/// Replaces each item by its newer form where it stands, or adds it.
+/// Replaces each item in place by its new form, or appends it.
 fn merge<T: Clone>(items: &mut Vec<T>, new: &[T], same: impl Fn(&T, &T) -> bool) {
     for item in new {
         match items.iter_mut().find(|existing| same(existing, item)) {
@@ -98,7 +100,8 @@
     }
 }
 
-/// A group as it is to be: one server more or less at a time, so that quorums before and after always meet.
+/// The group with the requested servers. At most one server is added or removed at a time, so that a quorum before the
+/// change always overlaps with a quorum after it. Faults are added to `errors`.
 fn plan_group(old: &Image, group: &operator::Group, errors: &mut Vec<String>) -> wire::Group {
     let mut new = wire::Group {
         name: group.name.clone(),
@@ -109,7 +112,7 @@
         note: group.note.clone(),
     };
     if group.confirms {
-        // Its servers make themselves known; a set neither adds nor takes out any.
+        // The servers register themselves; a configuration neither adds nor removes any.
         new.servers = old
             .groups
             .iter()
@@ -139,12 +142,12 @@
     {
         error(format!("server {leaving:?} is still being taken out; what it may alone hold is not yet held elsewhere"));
     }
-    // One that never counted holds nothing that has to be waited for.
+    // A server whose log never counted holds nothing that the others have to catch up with.
     new.leaving_servers.extend(removed.into_iter().filter(|server| old.log(server).is_some()).cloned());
     new
 }
 
-/// The doorways in the operators' form.
+/// The routes in the operators' form.
 pub fn operator_routes(image: &Image) -> Vec<operator::Route> {
     let to_operator_route = |route: &wire::Route| operator::Route {
         name: route.name.clone(),
--- a/hub/src/operator/evacuation.rs
+++ b/hub/src/operator/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuation of a zone and its withdrawal.
+//! Evacuation of a zone, and its end.
 
 use std::collections::BTreeSet;
 
@@ -8,30 +8,30 @@
 use super::{OrderResult, order::sequence_response};
 use crate::{leadership::Leadership, run::DisabledGuards};
 
-/// The zones that an order may name.
+/// The known zones.
 #[derive(Clone, Debug)]
-struct Zones {
+struct KnownZones {
     names: BTreeSet<String>,
-    /// Whether there can be no others.
+    /// Whether these are certainly all zones.
     complete: bool,
 }
 
 impl Leadership {
-    /// The zones of the settings; where these list none, those that servers and nodes told of, which are all of them
-    /// once everybody had the time to.
-    fn known_zones(&self) -> Zones {
+    /// The zones that the settings list and those that servers and nodes report. They are complete if the settings list
+    /// any, or once this control node has led for long enough that every server and node has reported.
+    fn known_zones(&self) -> KnownZones {
         let now = self.env.now();
         let mut names: BTreeSet<String> = self.observed_zones().into_iter().collect();
         if self.disabled.soft_zones {
-            return Zones { names, complete: true };
+            return KnownZones { names, complete: true };
         }
-        names.extend(self.listed_zones.iter().cloned());
+        names.extend(self.configured_zones.iter().cloned());
         let led_for = now.saturating_sub(self.consensus.term().1);
-        let complete = !self.listed_zones.is_empty() || led_for > self.bounds.server_gone_after() * 2;
-        Zones { names, complete }
+        let complete = !self.configured_zones.is_empty() || led_for > self.bounds.server_gone_after() * 2;
+        KnownZones { names, complete }
     }
 
-    /// Empties a zone of work, or takes that back.
+    /// Evacuates a zone, or ends its evacuation.
     pub(super) async fn on_evacuation(&self, zone: &str, evacuated: bool) -> OrderResult {
         let zones = self.known_zones();
         let disabled = self.disabled;
@@ -40,9 +40,10 @@
     }
 }
 
+/// The state with the zone evacuated or no longer evacuated. Refuses unknown zones and the evacuation of the last zone.
 fn evacuate(
     disabled: DisabledGuards,
-    mut zones: Zones,
+    mut zones: KnownZones,
     old: &Image,
     zone: &str,
     evacuated: bool,
@@ -52,7 +53,7 @@
     }
     let is_evacuated = old.evacuated_zones.iter().any(|name| name == zone);
     if is_evacuated == evacuated && (is_evacuated || zones.names.contains(zone)) && !disabled.soft_zones {
-        // Sent again: it is as it was to be.
+        // A repeated order: the zone is in the requested state already.
         return Err(sequence_response(old));
     }
     if !is_evacuated && !zones.names.contains(zone) {
@@ -70,8 +71,8 @@
     Ok(new)
 }
 
-impl Zones {
-    /// Refuses an order where all zones are known; otherwise it is to be sent again.
+impl KnownZones {
+    /// Refuses an order with `Invalid` if all zones are known, else with `Unconfirmed` so that it is sent again later.
     fn reject(&self, text: String) -> HttpResponse {
         let kind = if self.complete { ErrorKind::Invalid } else { ErrorKind::Unconfirmed };
         error_response(kind, &text, None)
--- a/hub/src/operator/identity.rs
+++ b/hub/src/operator/identity.rs
@@ -1,42 +1,44 @@
-//! The identity of an order, and the memory of those that were taken.
+//! The identity of an order, and the list of applied orders in the image.
 //!
-//! An operator whose answer was lost sends the same order again, to any node and at any time. It is known by its digest.
-//! The numbers of the orders that were taken rise strictly, so the memory drops the oldest first, and keeps the highest
-//! number that it dropped: of an order up to that number nobody can tell any more whether it was taken.
+//! An operator who received no response sends the same order again, to any node and at any time. The order is
+//! recognized by its digest. The numbers of applied orders rise strictly, so the list drops the oldest first and keeps
+//! the highest number that it dropped: for an order up to that number it can't be determined any more whether it was
+//! applied.
 
 use wire::Image;
 
-/// How many orders that were taken are remembered.
+/// How many applied orders the list holds at most.
 pub const REMEMBERED: usize = 512;
 
 const DIGEST_BYTES: usize = 16;
 const NUMBER_BYTES: usize = 8;
 
-/// What one order takes in the memory.
+/// The size of one order in the list, in bytes.
 pub const RECORD_BYTES: usize = NUMBER_BYTES + DIGEST_BYTES;
 
 /// The identity of a numbered order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Identity {
+    /// The operator's number of the order.
     pub number: u64,
     digest: [u8; DIGEST_BYTES],
-    /// What builds before this one kept as identity: CRC-32 and length of the body.
+    /// The identity in the format of earlier versions: CRC-32 and length of the body.
     legacy_checksum: u64,
 }
 
-/// What the agreed state tells of an order.
+/// Whether an order was applied, according to the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Memory {
-    /// It was taken.
+    /// The order was applied.
     Taken,
-    /// It may have been taken so long ago that it is no longer remembered.
+    /// The order may have been applied so long ago that it is no longer in the list.
     Forgotten,
-    /// It was not taken.
+    /// The order was not applied.
     New,
 }
 
 impl Identity {
-    /// The identity of an order by its method, the version that it builds on, and its body.
+    /// The identity of an order with this method, number and body that is based on version `after`.
     pub fn new(method: &str, after: Option<u64>, number: u64, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), &after.map_or_else(Vec::new, |version| version.to_be_bytes().to_vec()), body] {
@@ -45,10 +47,11 @@
         }
         let mut digest = [0; DIGEST_BYTES];
         hasher.finalize_xof().fill(&mut digest);
-        let old_sum = u64::from(crc32fast::hash(body)) << 32 | body.len() as u64;
-        Self { number, digest, legacy_checksum: old_sum }
+        let legacy_checksum = u64::from(crc32fast::hash(body)) << 32 | body.len() as u64;
+        Self { number, digest, legacy_checksum }
     }
 
+    /// The order's entry in the list.
     fn record(&self) -> [u8; RECORD_BYTES] {
         let mut out = [0; RECORD_BYTES];
         out[..NUMBER_BYTES].copy_from_slice(&self.number.to_be_bytes());
@@ -56,7 +59,7 @@
         out
     }
 
-    /// What the state tells of this order, which builds on version `after`.
+    /// Looks up whether this order, which is based on version `after`, was applied.
     pub fn recall(&self, image: &Image, after: Option<u64>) -> Memory {
         let record = self.record();
         let remembered = image.applied_orders.chunks_exact(RECORD_BYTES).any(|other| other == record);
@@ -65,18 +68,18 @@
         if remembered || remembered_as_legacy {
             return Memory::Taken;
         }
-        // One whose number is not above what it builds on was never taken, however long ago it came.
+        // An order whose number is not above the version that it is based on was never applied, at any time.
         let may_be_old = after.is_none_or(|version| version < self.number);
         if may_be_old && self.number <= image.highest_forgotten_order { Memory::Forgotten } else { Memory::New }
     }
 
-    /// Notes in the state that the order was taken, and drops the oldest ones over the bound.
+    /// Records in the state that the order was applied, and drops the oldest orders over [`REMEMBERED`].
     pub fn remember(&self, image: &mut Image) {
         image.operator_version = self.number;
         image.applied_orders.extend(self.record());
         let count = image.applied_orders.len() / RECORD_BYTES + image.legacy_orders.len();
         let mut excess = count.saturating_sub(REMEMBERED);
-        // Those of the form of old are the oldest.
+        // Orders in the legacy format are the oldest.
         let legacy_excess = excess.min(image.legacy_orders.len());
         for dropped in image.legacy_orders.drain(..legacy_excess) {
             image.highest_forgotten_order = image.highest_forgotten_order.max(dropped.number);
--- a/hub/src/operator/mod.rs
+++ b/hub/src/operator/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out operators' orders at the leading hub.
+//! Executes operators' orders at the leader.
 //!
-//! A verdict on an order (taken, refused, taken before) rests on a state that lies on a majority of disks and was
-//! confirmed by a majority after the order came.
+//! The response to an order (applied, refused, applied before) is based on a state that is on a majority of disks and
+//! that a majority confirmed after the order arrived.
 
 mod apply;
 mod evacuation;
@@ -25,21 +25,22 @@
 
 use crate::leadership::Leadership;
 
-/// The largest operator body: the most doorways that a set may hold, each with the operators' own form of it beside it.
+/// The largest body of an order: enough for the largest number of routes in a configuration, each with the operators'
+/// own form of it as a note.
 const MAX_BODY_BYTES: usize = 3 << 20;
 
-/// How many orders may be under way at the leading hub: eight times what one operator has under way.
+/// How many orders may be in progress at the leader: eight times as many as one operator has in progress.
 pub const MAX_CONCURRENT_ORDERS: usize = 64;
 
-/// An answer, or the refusal.
+/// A response, or the refusal as the error.
 pub(crate) type OrderResult = Result<HttpResponse, HttpResponse>;
 
-/// An answer in JSON.
-pub(crate) fn json(code: u16, text: String) -> HttpResponse {
-    HttpResponse::new(code, text).with_header("content-type", "application/json")
+/// A JSON response.
+pub(crate) fn json(status: u16, text: String) -> HttpResponse {
+    HttpResponse::new(status, text).with_header("content-type", "application/json")
 }
 
-/// Reads a body of bounded size.
+/// Parses a JSON body. Fails with a `TooLarge` or `Malformed` response.
 pub(crate) fn parse_body<T: nanoserde::DeJson>(body: &[u8]) -> Result<T, HttpResponse> {
     if body.len() > MAX_BODY_BYTES {
         return Err(error_response(ErrorKind::TooLarge, "", None));
@@ -48,13 +49,13 @@
 }
 
 impl Leadership {
-    /// Answers one outer request that reached the leading hub.
+    /// Handles a request of an operator or a server that reached the leader.
     pub async fn handle_request(self: Rc<Self>, method: &str, path: &str, body: Bytes) -> HttpResponse {
         let path = path.split('?').next().unwrap_or("");
-        let segments: Vec<&str> = path.split('/').filter(|p| !p.is_empty()).collect();
+        let segments: Vec<&str> = path.split('/').filter(|segment| !segment.is_empty()).collect();
         let result = match (method, &segments[..]) {
             ("POST", ["report"]) => self.on_report(&body),
-            ("DELETE", ["report", server]) => self.on_leave(server),
+            ("DELETE", ["report", server]) => self.on_deregistration(server),
             ("GET", ["ops", "doorways"]) => self.read_configuration().await,
             ("GET", ["ops", "members"]) => Ok(self.node_rows()),
             ("GET", ["ops", "servers"]) => Ok(self.server_rows()),
@@ -63,10 +64,10 @@
             (_, ["ops", order_path @ ..]) => self.dispatch_order(method, order_path, &body).await,
             _ => Err(error_response(ErrorKind::NoPath, "", None)),
         };
-        result.unwrap_or_else(|e| e)
+        result.unwrap_or_else(|refusal| refusal)
     }
 
-    /// Carries out an order, if not too many are under way.
+    /// Executes an order, unless too many are in progress.
     async fn dispatch_order(&self, method: &str, path: &[&str], body: &[u8]) -> OrderResult {
         let Some(_permit) = self.order_permits.try_acquire() else {
             return Err(error_response(ErrorKind::Overloaded, "too many orders are under way", None));
@@ -81,6 +82,7 @@
         }
     }
 
+    /// Returns the configuration, after a majority confirmed that it is current.
     async fn read_configuration(&self) -> OrderResult {
         let image = self.consensus.confirm().await.map_err(|k| error_response(k, "", None))?;
         let (term, _) = self.consensus.term();
@@ -98,6 +100,7 @@
         Ok(json(200, view.serialize_json()))
     }
 
+    /// Requests that a server become primary of its group.
     fn on_handover(&self, body: &[u8]) -> OrderResult {
         let request: HandoverRequest = parse_body(body)?;
         match self.request_handover(&request.server) {
--- a/hub/src/operator/order.rs
+++ b/hub/src/operator/order.rs
@@ -1,4 +1,4 @@
-//! Sets and changes of doorways and groups: judged against the agreed state, then proposed.
+//! Replacement and change of the configuration: checked against the replicated state, then proposed.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -21,16 +21,17 @@
 };
 use crate::{leadership::Leadership, run::DisabledGuards};
 
-/// The highest number of a set: every reader of JSON takes it for what it is, and there is always a next one.
-const HIGHEST_NUMBER: u64 = (1 << 53) - 1;
+/// The highest number of a configuration: every JSON parser reads it exactly, and the next one still exists.
+const MAX_ORDER_NUMBER: u64 = (1 << 53) - 1;
 
-/// Acknowledges an order by the state's sequence.
+/// Acknowledges an order with the state's sequence.
 pub(super) fn sequence_response(image: &Image) -> HttpResponse {
     json(200, format!("{{\"sequence\":{}}}", image.sequence))
 }
 
 impl Leadership {
-    /// Proposes a change of the agreed state. `make` gives the new state or the final answer.
+    /// Proposes a change of the replicated state. `make` returns the new state, or the final response if nothing is to
+    /// be changed. Publishes the new state before it returns.
     pub(super) async fn propose_change(
         &self,
         make: impl FnOnce(&Image) -> Result<Image, HttpResponse> + 'static,
@@ -53,16 +54,18 @@
                     Component::Agree,
                     format!("configuration {} is committed in term {term}", image.operator_version),
                 );
-                // News goes out before the operator hears of it, so that no later beat is confirmed without it.
+                // The snapshot is published before the operator gets the response, so that no later heartbeat is
+                // confirmed without it.
                 self.publish();
                 Ok(sequence_response(&image))
             }
-            // The verdict was confirmed; of anything else nothing is known.
+            // The final response was made from a confirmed state. Without one the outcome is unknown.
             Err(ErrorKind::Invalid) => {
                 let response =
                     final_response.take().unwrap_or_else(|| error_response(ErrorKind::OutcomeUnknown, "", None));
                 if response.status == 200 {
-                    // It was taken before: news of it goes out before the operator hears of it again.
+                    // The order was applied before: the snapshot is published before the operator gets the response
+                    // again.
                     self.publish();
                 }
                 Err(response)
@@ -71,28 +74,28 @@
         }
     }
 
-    /// A change of doorways and groups. A leader that is to be taken out of its group hands over first.
+    /// Changes the configuration. A primary that is to be removed from its group hands over first.
     async fn change_configuration(
         &self,
         make: impl Fn(&Image) -> Result<Image, HttpResponse> + 'static,
     ) -> OrderResult {
-        // Servers that confirm make themselves known; no set takes any of them out.
+        // Servers that confirm commits register themselves; no configuration removes any of them.
         let may_remove_servers =
-            |image: &Image| image.groups.iter().any(|g| !g.confirms) || self.disabled.early_verdict;
+            |image: &Image| image.groups.iter().any(|group| !group.confirms) || self.disabled.early_verdict;
         if let Some(current) = self.consensus.image().filter(|current| may_remove_servers(current))
             && self.consensus.leads()
         {
             match make(&current) {
                 Ok(new) => self.hand_over_leaving(&current, &new).await?,
                 Err(response) if self.disabled.early_verdict => return Err(response),
-                // Only a state that was confirmed after the order came may judge it.
+                // An order may be refused only by a state that was confirmed after the order arrived.
                 Err(_) => {}
             }
         }
         self.propose_change(make).await
     }
 
-    /// Lets each leader that leaves its group hand over.
+    /// Has each primary that leaves its group hand over.
     async fn hand_over_leaving(&self, old: &Image, new: &Image) -> Result<(), HttpResponse> {
         for group in &new.groups {
             let Some(election) =
@@ -109,32 +112,34 @@
         Ok(())
     }
 
+    /// Handles an order that replaces the configuration.
     pub(super) async fn replace_configuration(&self, body: &[u8]) -> OrderResult {
         let configuration: Configuration = parse_body(body)?;
         let disabled = self.disabled;
         let basis = OrderBasis::new("PUT", configuration.after, configuration.number, body);
         self.change_configuration(move |old| {
             basis.check(disabled, old)?;
-            let wanted = RequestedConfiguration::from_configuration(old, &configuration);
-            basis.finish(apply::apply(disabled, old, wanted)?)
+            let requested = RequestedConfiguration::from_configuration(old, &configuration);
+            basis.finish(apply::apply(disabled, old, requested)?)
         })
         .await
     }
 
+    /// Handles an order that changes some items of the configuration.
     pub(super) async fn modify_configuration(&self, body: &[u8]) -> OrderResult {
         let change: ConfigurationChange = parse_body(body)?;
         let disabled = self.disabled;
         let basis = OrderBasis::new("PATCH", Some(change.after), change.number, body);
         self.change_configuration(move |old| {
             basis.check(disabled, old)?;
-            let wanted = RequestedConfiguration::from_change(old, &change)?;
-            basis.finish(apply::apply(disabled, old, wanted)?)
+            let requested = RequestedConfiguration::from_change(old, &change)?;
+            basis.finish(apply::apply(disabled, old, requested)?)
         })
         .await
     }
 }
 
-/// What a set or change builds on, and what it is.
+/// The version that an order is based on, and the order's identity.
 struct OrderBasis {
     based_on: Option<u64>,
     identity: Option<Identity>,
@@ -145,7 +150,8 @@
         Self { based_on: after, identity: number.map(|number| Identity::new(method, after, number, body)) }
     }
 
-    /// Refuses one that builds on another version than the newest; one that was taken already is answered so.
+    /// Refuses an order that is based on another version than the latest. An order that was applied before is
+    /// acknowledged again.
     fn check(&self, disabled: DisabledGuards, old: &Image) -> Result<(), HttpResponse> {
         if let Some(identity) = &self.identity
             && !disabled.no_order_memory
@@ -163,6 +169,7 @@
         self.check_number(old)
     }
 
+    /// Checks the version that the order is based on.
     fn check_base(&self, disabled: DisabledGuards, old: &Image) -> Result<(), HttpResponse> {
         let current = if self.identity.is_some() { old.operator_version } else { old.sequence };
         if disabled.no_compare || self.based_on.is_none_or(|version| version == current) {
@@ -172,19 +179,20 @@
         Err(error_response(ErrorKind::VersionConflict, &text, None).with_header("x-sequence", current))
     }
 
+    /// Checks that the order's number rises and is representable.
     fn check_number(&self, old: &Image) -> Result<(), HttpResponse> {
         let Some(number) = self.identity.map(|identity| identity.number) else { return Ok(()) };
         let text = if number <= old.operator_version {
             format!("number: {number} is not above {}, the one in force", old.operator_version)
-        } else if number > HIGHEST_NUMBER {
-            format!("number: {number} is above {HIGHEST_NUMBER}")
+        } else if number > MAX_ORDER_NUMBER {
+            format!("number: {number} is above {MAX_ORDER_NUMBER}")
         } else {
             return Ok(());
         };
         Err(error_response(ErrorKind::Invalid, &text, None))
     }
 
-    /// Counts the new state, and notes in it that this was taken.
+    /// Increments the sequence of the new state and records in it that the order was applied.
     fn finish(&self, mut new: Image) -> Result<Image, HttpResponse> {
         new.sequence += 1;
         if let Some(identity) = &self.identity {
--- a/hub/src/reports.rs
+++ b/hub/src/reports.rs
@@ -1,4 +1,4 @@
-//! Takes servers' reports at the leading hub.
+//! Reports of servers to the leader.
 
 use base::{
     ErrorKind,
@@ -11,7 +11,7 @@
 };
 
 impl Leadership {
-    /// A server's report of itself.
+    /// Handles a server's report of itself; the response states whether the server is in a group.
     pub(crate) fn on_report(&self, body: &[u8]) -> OrderResult {
         let report: ServerReport = parse_body(body)?;
         if report.addr.parse::<std::net::SocketAddr>().is_err() {
@@ -24,7 +24,7 @@
         if !self.consensus.leads() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
-        if let Some(address) = self.answers_elsewhere(&report).filter(|_| report.group.is_empty()) {
+        if let Some(address) = self.responding_address(&report).filter(|_| report.group.is_empty()) {
             let text = format!("server {:?} answers at {address}; another is of this name", report.server);
             return Err(error_response(ErrorKind::Invalid, &text, None));
         }
@@ -32,8 +32,8 @@
         Ok(json(200, format!("{{\"known\":{}}}", self.is_known(&report.server))))
     }
 
-    /// A server's word that it ends.
-    pub(crate) fn on_leave(&self, server: &str) -> OrderResult {
+    /// Handles a server's statement that it ends.
+    pub(crate) fn on_deregistration(&self, server: &str) -> OrderResult {
         if !self.consensus.leads() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a hub together and runs it under its supervisor.
+//! Assembles a control node and runs it under its supervisor.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 
@@ -22,57 +22,58 @@
     store::{Fault, Found, Store},
 };
 
-/// Guards that tests take away to see that they are needed; the programs leave all in place.
+/// Safeguards that tests disable to show that each is needed. The programs leave all of them enabled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DisabledGuards {
-    /// Elect without waiting for grants to run out.
+    /// Elect a primary without waiting until the leases on the previous one have expired.
     pub no_wait: bool,
-    /// Elect after reading a single server.
+    /// Elect a primary after reading a single server.
     pub read_one: bool,
-    /// Let a blank disk vote.
+    /// Let a disk without an image vote.
     pub blank_votes: bool,
-    /// Lead on without hearing a majority.
+    /// Continue to lead without acknowledgements of a majority.
     pub no_lease: bool,
-    /// Take a change whatever sequence it was made against.
+    /// Accept a change whatever sequence it is based on.
     pub no_compare: bool,
-    /// Take sets unchecked.
+    /// Accept configurations without checks.
     pub no_check: bool,
-    /// Give shares without looking at what is out.
+    /// Grant shares regardless of the outstanding ones.
     pub no_ledger: bool,
-    /// Deal with processes that count by other bounds.
+    /// Accept processes that run with other bounds.
     pub any_rule: bool,
-    /// Forget at the start what the disk holds.
+    /// Ignore at the start what the disk holds.
     pub no_recall: bool,
-    /// Count any log, whatever became of it.
+    /// Count every log towards the quorum, whatever it lost.
     pub no_roll: bool,
-    /// Name a leader without keeping the others from receiving.
+    /// Promote a server without suspending replication on the others.
     pub no_hold: bool,
-    /// Change the members of the consensus in one step.
+    /// Change the consensus members in one step, without a joint configuration.
     pub no_joint: bool,
     /// Form the first image at any start.
     pub form_again: bool,
-    /// Elect from whatever servers are listed.
+    /// Elect a primary although the list of servers may be incomplete.
     pub any_list: bool,
-    /// Name all servers of a term under one fence.
+    /// Use one fencing token for all promotions of a term.
     pub one_fence: bool,
-    /// Name primaries at once though an earlier holder of that duty may have done so a moment ago.
+    /// Promote servers at once although the previous leader may have done so a moment ago.
     pub no_duty_rest: bool,
-    /// Give a cold server's whole cap at once.
+    /// Grant a cold server's whole cap at once.
     pub no_ramp: bool,
-    /// Judge an order from the newest state at hand, before a majority confirmed it.
+    /// Decide on an order by the latest local state, before a majority confirmed it.
     pub early_verdict: bool,
-    /// Forget which orders were taken.
+    /// Ignore which orders were applied before.
     pub no_order_memory: bool,
-    /// Refuse an order so old that nobody can tell whether it was taken.
+    /// Don't answer `OutcomeUnknown` to an order that is too old to determine whether it was applied, so that it is
+    /// refused by the other checks.
     pub refuse_forgotten: bool,
-    /// Know only the zones that servers and nodes told of since this hub began to lead.
+    /// Consider only the zones that servers and nodes reported since this control node began to lead.
     pub soft_zones: bool,
 }
 
-/// The size at which the log gives way to a new slot.
+/// The size of the log, in bytes, at which the store writes a new slot.
 const MAX_LOG_BYTES: u64 = 256 << 10;
 
-/// A running hub.
+/// A running control node.
 pub struct Hub {
     pub consensus: Rc<Consensus>,
     pub leadership: Rc<Leadership>,
@@ -82,6 +83,7 @@
     _consensus_tasks: [base::runtime::TaskGuard; 2],
 }
 
+/// Passes what arrives over the relay to the consensus and the leadership.
 struct ControlNodeHandler {
     consensus: Rc<Consensus>,
     leadership: std::cell::RefCell<Option<Rc<Leadership>>>,
@@ -148,12 +150,13 @@
     }
 }
 
-/// Starts a hub; it runs for as long as the returned value lives.
+/// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
+/// used.
 pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
     run_in(env, config, disabled, None).await
 }
 
-/// Starts a hub that speaks to servers which confirm commits in the users' manner.
+/// Like [`run`], with the protocol of servers that confirm commits.
 pub async fn run_in(
     env: &Env,
     config: &NodeConfig,
@@ -176,12 +179,12 @@
     match found {
         Found::Fresh => env.log(Component::Disk, "the data folder is empty"),
         Found::Torn => {
-            env.log(Component::Disk, "no slot can be read; starting with an empty disk of a new incarnation")
+            env.log(Component::Disk, "no slot can be read; starting with an empty disk and a new incarnation")
         }
         Found::Whole => {}
     }
     if state.incarnation == 0 {
-        // Written before anything else, so that whoever counts this disk knows it again after a restart.
+        // Written before anything else, so that the other members recognize this disk after a restart.
         state.incarnation = env.rand() | 1;
         if config.first_start && found == Found::Fresh && config.seeds.contains(&config.peer) {
             state.formation_seeds = config.seeds.iter().map(ToString::to_string).collect();
@@ -238,18 +241,18 @@
     });
     env.log(
         Component::Main,
-        format!("hub {} in area {} serves {}", node_identity.name, node_identity.zone, config.http),
+        format!("control node {} in zone {} serves {}", node_identity.name, node_identity.zone, config.http),
     );
     Ok(Hub { consensus, leadership, relay, door: endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
 }
 
 impl Hub {
-    /// Takes a changed address of the platform.
-    pub fn platform(&self, addr: Option<std::net::SocketAddr>) {
-        self.leadership.platform_address.set(addr);
+    /// Sets the address of the platform.
+    pub fn platform(&self, address: Option<std::net::SocketAddr>) {
+        self.leadership.platform_address.set(address);
     }
 
-    /// Hands over what this hub does and closes its doors.
+    /// Hands leadership over and closes idle connections.
     pub async fn leave(&self) {
         self.consensus.leave().await;
         self.relay.leave();
