--- a/hub/src/leases.rs
+++ b/hub/src/leases.rs
@@ -94,9 +94,9 @@
 
     /// A table that starts with the leases on primaries that the previous leader reported at `reported_at`. An entry
     /// without a group states for how long unreported leases may still be in force.
-    pub fn inherit(expiry: Duration, reported_at: Duration, left: &[OutstandingLease]) -> Self {
+    pub fn inherit(expiry: Duration, reported_at: Duration, reported: &[OutstandingLease]) -> Self {
         let mut table = Self { unknown_shares_until: expiry, ..Self::default() };
-        for lease in left {
+        for lease in reported {
             if lease.group.is_empty() {
                 table.unknown_primaries_until = reported_at + Duration::from_millis(lease.remaining_ms);
                 continue;
--- a/hub/src/lib.rs
+++ b/hub/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod store;
 
 pub use on_platform::PlatformHub;
-pub use run::{DisabledGuards, Hub, run, run_in};
+pub use run::{DisabledGuards, Hub, run, run_with_protocol};
--- a/hub/src/on_platform.rs
+++ b/hub/src/on_platform.rs
@@ -11,13 +11,17 @@
 };
 use platform::Given;
 
-use crate::{DisabledGuards, Hub, forwarding::LeaderForwarder, operator::MAX_CONCURRENT_ORDERS, run_in, store::Fault};
+use crate::{
+    DisabledGuards, Hub, forwarding::LeaderForwarder, operator::MAX_CONCURRENT_ORDERS, run_with_protocol, store::Fault,
+};
 
 /// A control node that also serves servers and operators in the platform's protocol.
 pub struct PlatformHub {
     env: Env,
-    pub hub: Hub,
-    door: Endpoint,
+    /// The control node itself.
+    pub control_node: Hub,
+    /// The control endpoint of the platform.
+    endpoint: Endpoint,
     config: NodeConfig,
     _tree: Supervisor,
 }
@@ -26,16 +30,16 @@
     /// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
     /// used.
     pub async fn start(env: &Env, given: &Given, config: &NodeConfig, disabled: DisabledGuards) -> Result<Self, Fault> {
-        let hub = run_in(env, config, disabled, Some(platform::Speech::shared())).await?;
+        let control_node = run_with_protocol(env, config, disabled, Some(platform::Speech::shared())).await?;
         let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
         let mut tree = Supervisor::new(env);
         if let Some(addr) = given.control {
             let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
-            let (relay, consensus) = (hub.relay.clone(), hub.consensus.clone());
+            let (relay, consensus) = (control_node.relay.clone(), control_node.consensus.clone());
             let forwarder =
                 Rc::new(LeaderForwarder { env: env.clone(), bounds: config.bounds.clone(), relay, consensus });
             let orders = Permits::new(MAX_CONCURRENT_ORDERS);
-            let make = Rc::new(move || {
+            let make_handler = Rc::new(move || {
                 let forwarder = forwarder.clone();
                 let forward: platform::Pass = Rc::new(move |request| {
                     let forwarder = forwarder.clone();
@@ -45,16 +49,16 @@
             });
             let (task_env, task_endpoint) = (env.clone(), endpoint.clone());
             tree.child("control", move || {
-                http::serve(task_env.clone(), listener.clone(), task_endpoint.clone(), make.clone())
+                http::serve(task_env.clone(), listener.clone(), task_endpoint.clone(), make_handler.clone())
             });
         }
-        Ok(Self { env: env.clone(), hub, door: endpoint, config: config.clone(), _tree: tree })
+        Ok(Self { env: env.clone(), control_node, endpoint, config: config.clone(), _tree: tree })
     }
 
     /// Hands leadership over, closes idle connections and waits for one heartbeat interval of the control nodes.
     pub async fn leave(&self) {
-        self.hub.leave().await;
-        self.door.close_idle();
+        self.control_node.leave().await;
+        self.endpoint.close_idle();
         self.env.sleep(self.config.bounds.control_heartbeat()).await;
     }
 }
--- a/hub/src/operator/apply.rs
+++ b/hub/src/operator/apply.rs
@@ -41,10 +41,10 @@
             }
             routes.retain(|route| route.handle() != name);
         }
-        merge(&mut routes, &change.put, |a, b| a.handle() == b.handle());
+        merge(&mut routes, &change.put, |existing, new| existing.handle() == new.handle());
         let mut groups = operator_groups(old);
         groups.retain(|group| !change.drop_groups.contains(&group.name));
-        merge(&mut groups, &change.groups, |a, b| a.name == b.name);
+        merge(&mut groups, &change.groups, |existing, new| existing.name == new.name);
         let note = if change.note.is_empty() { &old.note } else { &change.note };
         Ok(Self { routes, groups, limits: change.limits.clone().unwrap_or_else(|| limits(old)), note: note.clone() })
     }
--- a/hub/src/operator/mod.rs
+++ b/hub/src/operator/mod.rs
@@ -84,7 +84,7 @@
 
     /// Returns the configuration, after a majority confirmed that it is current.
     async fn read_configuration(&self) -> OrderResult {
-        let image = self.consensus.confirm().await.map_err(|k| error_response(k, "", None))?;
+        let image = self.consensus.confirm().await.map_err(|kind| error_response(kind, "", None))?;
         let (term, _) = self.consensus.term();
         self.log(Component::Agree, format!("configuration {} is read in term {term}", image.operator_version));
         let limits = image.limits.unwrap_or_default();
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -75,10 +75,14 @@
 
 /// A running control node.
 pub struct Hub {
+    /// The consensus among the control nodes.
     pub consensus: Rc<Consensus>,
+    /// What this control node does while it leads.
     pub leadership: Rc<Leadership>,
+    /// The link to the other processes in the tree.
     pub relay: Rc<Relay>,
-    pub door: Endpoint,
+    /// The HTTP endpoint for operators and servers.
+    pub endpoint: Endpoint,
     _tree: Supervisor,
     _consensus_tasks: [base::runtime::TaskGuard; 2],
 }
@@ -115,7 +119,7 @@
         let leadership = self.leadership();
         let task = async move {
             let response = leadership.handle_request(&request.method, &request.path, request.body).await;
-            let retry = response.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
+            let retry = response.header("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0);
             let (origin, boot_id, nonce) = (request.origin, request.boot_id, request.nonce);
             respond(ForwardedResponse {
                 origin,
@@ -153,11 +157,11 @@
 /// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
 /// used.
 pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
-    run_in(env, config, disabled, None).await
+    run_with_protocol(env, config, disabled, None).await
 }
 
 /// Like [`run`], with the protocol of servers that confirm commits.
-pub async fn run_in(
+pub async fn run_with_protocol(
     env: &Env,
     config: &NodeConfig,
     disabled: DisabledGuards,
@@ -243,7 +247,7 @@
         Component::Main,
         format!("control node {} in zone {} serves {}", node_identity.name, node_identity.zone, config.http),
     );
-    Ok(Hub { consensus, leadership, relay, door: endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
+    Ok(Hub { consensus, leadership, relay, endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
 }
 
 impl Hub {
@@ -256,6 +260,6 @@
     pub async fn leave(&self) {
         self.consensus.leave().await;
         self.relay.leave();
-        self.door.close_idle();
+        self.endpoint.close_idle();
     }
 }
