--- a/hub/src/rescue.rs
+++ b/hub/src/rescue.rs
@@ -24,7 +24,7 @@
         .map(|election| format!("primary of {}: {} in epoch {}", election.group, election.server, election.epoch))
         .collect();
     let contents = format!(
-        "This disk holds sequence {} (term {}, count {}): {} doorways, {} groups, {}.",
+        "This disk holds sequence {} (term {}, count {}): {} routes, {} groups, {}.",
         image.sequence,
         state.version_term,
         state.version_index,
