--- a/hub/src/leadership/mod.rs
+++ b/hub/src/leadership/mod.rs
@@ -364,7 +364,7 @@
             self.consensus.met(&heartbeat.peer);
         }
         if heartbeat.hub || heartbeat.leaving {
-            return Some(self.heartbeat_ack(&heartbeat, Vec::new(), Vec::new()));
+            return Some(self.acknowledgement(&heartbeat, Vec::new(), Vec::new()));
         }
         self.adopt_reported_leases(&heartbeat, &image);
         for observation in heartbeat.observations.iter().filter(|observation| observation.lost_since_admission > 0) {
@@ -372,11 +372,11 @@
         }
         let primary_leases = self.grant_primary_leases(&heartbeat, &image, now);
         let shares = self.grant_shares(&heartbeat, &image, now);
-        Some(self.heartbeat_ack(&heartbeat, primary_leases, shares))
+        Some(self.acknowledgement(&heartbeat, primary_leases, shares))
     }
 
     /// The acknowledgement of a heartbeat.
-    fn heartbeat_ack(
+    fn acknowledgement(
         &self,
         heartbeat: &NodeHeartbeat,
         primary_leases: Vec<wire::PrimaryLeaseGrant>,
