--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a hub together and runs it under its supervisor.
+//! Assembles a control node and runs it under its supervisor.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc};
 
@@ -17,111 +17,117 @@
 
 use crate::{
     consensus::{Consensus, Guards, Identity},
-    door::Desk,
+    http_endpoint::HttpHandler,
     leadership::Leadership,
     store::{Fault, Found, Store},
 };
 
-/// Guards that tests take away to see that they are needed; the programs leave all in place.
+/// Safeguards that tests disable to show that each is needed. The programs leave all of them enabled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DisabledGuards {
-    /// Elect without waiting for grants to run out.
+    /// Elect a primary without waiting until the leases on the previous one have expired.
     pub no_wait: bool,
-    /// Elect after reading a single server.
+    /// Elect a primary after reading a single server.
     pub read_one: bool,
-    /// Let a blank disk vote.
+    /// Let a disk without an image vote.
     pub blank_votes: bool,
-    /// Lead on without hearing a majority.
+    /// Continue to lead without acknowledgements of a majority.
     pub no_lease: bool,
-    /// Take a change whatever sequence it was made against.
+    /// Accept a change whatever sequence it is based on.
     pub no_compare: bool,
-    /// Take sets unchecked.
+    /// Accept configurations without checks.
     pub no_check: bool,
-    /// Give shares without looking at what is out.
+    /// Grant shares regardless of the outstanding ones.
     pub no_ledger: bool,
-    /// Deal with processes that count by other bounds.
+    /// Accept processes that run with other bounds.
     pub any_rule: bool,
-    /// Forget at the start what the disk holds.
+    /// Ignore at the start what the disk holds.
     pub no_recall: bool,
-    /// Count any log, whatever became of it.
+    /// Count every log towards the quorum, whatever it lost.
     pub no_roll: bool,
-    /// Name a leader without keeping the others from receiving.
+    /// Promote a server without suspending replication on the others.
     pub no_hold: bool,
-    /// Change the members of the consensus in one step.
+    /// Change the consensus members in one step, without a joint configuration.
     pub no_joint: bool,
     /// Form the first image at any start.
     pub form_again: bool,
-    /// Elect from whatever servers are listed.
+    /// Elect a primary although the list of servers may be incomplete.
     pub any_list: bool,
-    /// Name all servers of a term under one fence.
+    /// Use one fencing token for all promotions of a term.
     pub one_fence: bool,
-    /// Name primaries at once though an earlier holder of that duty may have done so a moment ago.
+    /// Promote servers at once although the previous leader may have done so a moment ago.
     pub no_duty_rest: bool,
-    /// Give a cold server's whole cap at once.
+    /// Grant a cold server's whole cap at once.
     pub no_ramp: bool,
-    /// Judge an order from the newest state at hand, before a majority confirmed it.
+    /// Decide on an order by the latest local state, before a majority confirmed it.
     pub early_verdict: bool,
-    /// Forget which orders were taken.
+    /// Ignore which orders were applied before.
     pub no_order_memory: bool,
-    /// Refuse an order so old that nobody can tell whether it was taken.
+    /// Don't answer `OutcomeUnknown` to an order that is too old to determine whether it was applied, so that it is
+    /// refused by the other checks.
     pub refuse_forgotten: bool,
-    /// Know only the zones that servers and nodes told of since this hub began to lead.
+    /// Consider only the zones that servers and nodes reported since this control node began to lead.
     pub soft_zones: bool,
 }
 
-/// The size at which the log gives way to a new slot.
-const LOG: u64 = 256 << 10;
+/// The size of the log, in bytes, at which the store writes a new slot.
+const MAX_LOG_BYTES: u64 = 256 << 10;
 
-/// A running hub.
+/// A running control node.
 pub struct Hub {
+    /// The consensus among the control nodes.
     pub consensus: Rc<Consensus>,
+    /// What this control node does while it leads.
     pub leadership: Rc<Leadership>,
+    /// The link to the other processes in the tree.
     pub relay: Rc<Relay>,
-    pub door: Endpoint,
+    /// The HTTP endpoint for operators and servers.
+    pub endpoint: Endpoint,
     _tree: Supervisor,
-    _desk: [base::runtime::TaskGuard; 2],
+    _consensus_tasks: [base::runtime::TaskGuard; 2],
 }
 
-struct Root {
+/// Passes what arrives over the relay to the consensus and the leadership.
+struct ControlNodeHandler {
     consensus: Rc<Consensus>,
     leadership: std::cell::RefCell<Option<Rc<Leadership>>>,
     env: Env,
 }
 
-impl Root {
+impl ControlNodeHandler {
     fn leadership(&self) -> Rc<Leadership> {
         self.leadership.borrow().clone().expect("the leadership is set before the relay runs")
     }
 }
 
-impl RelayHandler for Root {
+impl RelayHandler for ControlNodeHandler {
     fn is_leader(&self) -> bool {
         self.consensus.leads()
     }
 
-    fn fill_heartbeat(&self, _beat: &mut NodeHeartbeat) {}
+    fn fill_heartbeat(&self, _heartbeat: &mut NodeHeartbeat) {}
 
-    fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: std::time::Duration) {}
+    fn on_ack(&self, _ack: NodeHeartbeatAck, _sent: std::time::Duration) {}
 
-    fn on_snapshot(&self, _news: &Rc<Snapshot>) {}
+    fn on_snapshot(&self, _snapshot: &Rc<Snapshot>) {}
 
-    fn handle_heartbeat(&self, beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
-        self.leadership().on_heartbeat(beat)
+    fn handle_heartbeat(&self, heartbeat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
+        self.leadership().on_heartbeat(heartbeat)
     }
 
-    fn handle_request(&self, ask: ForwardedRequest, done: Box<dyn FnOnce(ForwardedResponse)>) {
+    fn handle_request(&self, request: ForwardedRequest, respond: Box<dyn FnOnce(ForwardedResponse)>) {
         let leadership = self.leadership();
         let task = async move {
-            let out = leadership.answer(&ask.method, &ask.path, ask.body).await;
-            let retry = out.header("retry-after").and_then(|r| r.parse().ok()).unwrap_or(0);
-            let (origin, boot, nonce) = (ask.origin, ask.boot_id, ask.nonce);
-            done(ForwardedResponse {
+            let response = leadership.handle_request(&request.method, &request.path, request.body).await;
+            let retry = response.header("retry-after").and_then(|seconds| seconds.parse().ok()).unwrap_or(0);
+            let (origin, boot_id, nonce) = (request.origin, request.boot_id, request.nonce);
+            respond(ForwardedResponse {
                 origin,
                 nonce,
-                status: u32::from(out.status),
+                status: u32::from(response.status),
                 retry_after_s: retry,
-                body: out.body,
-                boot_id: boot,
+                body: response.body,
+                boot_id,
             });
         };
         self.env.spawn(task).detach();
@@ -148,48 +154,49 @@
     }
 }
 
-/// Starts a hub; it runs for as long as the returned value lives.
-pub async fn run(env: &Env, place: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
-    run_in(env, place, disabled, None).await
+/// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
+/// used.
+pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
+    run_with_protocol(env, config, disabled, None).await
 }
 
-/// Starts a hub that speaks to servers which confirm commits in the users' manner.
-pub async fn run_in(
+/// Like [`run`], with the protocol of servers that confirm commits.
+pub async fn run_with_protocol(
     env: &Env,
-    place: &NodeConfig,
+    config: &NodeConfig,
     disabled: DisabledGuards,
-    manner: Option<Rc<dyn ServerProtocol>>,
+    server_protocol: Option<Rc<dyn ServerProtocol>>,
 ) -> Result<Hub, Fault> {
-    let who = NodeIdentity {
-        name: place.name.clone(),
-        zone: place.zone.clone(),
+    let node_identity = NodeIdentity {
+        name: config.name.clone(),
+        zone: config.zone.clone(),
         is_control_node: true,
-        peer: place.peer,
-        http: place.http,
-        seeds: place.seeds.clone(),
+        peer: config.peer,
+        http: config.http,
+        seeds: config.seeds.clone(),
         boot_id: env.rand(),
     };
-    let (mut store, mut state, found) = Store::open(env, LOG).await?;
+    let (mut store, mut state, found) = Store::open(env, MAX_LOG_BYTES).await?;
     if disabled.no_recall {
         state = Default::default();
     }
     match found {
         Found::Fresh => env.log(Component::Disk, "the data folder is empty"),
         Found::Torn => {
-            env.log(Component::Disk, "no slot can be read; starting with an empty disk of a new incarnation")
+            env.log(Component::Disk, "no slot can be read; starting with an empty disk and a new incarnation")
         }
         Found::Whole => {}
     }
     if state.incarnation == 0 {
-        // Written before anything else, so that whoever counts this disk knows it again after a restart.
+        // Written before anything else, so that the other members recognize this disk after a restart.
         state.incarnation = env.rand() | 1;
-        if place.first_start && found == Found::Fresh && place.seeds.contains(&place.peer) {
-            state.formation_seeds = place.seeds.iter().map(ToString::to_string).collect();
+        if config.first_start && found == Found::Fresh && config.seeds.contains(&config.peer) {
+            state.formation_seeds = config.seeds.iter().map(ToString::to_string).collect();
         }
         store.keep(&state).await;
     }
-    let peer = env.listen(place.peer).await?;
-    let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
+    let peer = env.listen(config.peer).await?;
+    let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(config.http).await?)));
     let guards = Guards {
         any_incarnation: disabled.blank_votes,
         no_lease: disabled.no_lease,
@@ -200,53 +207,59 @@
         ..Guards::default()
     };
     let identity = Identity {
-        name: place.name.clone(),
-        zone: place.zone.clone(),
-        address: place.peer,
-        seeds: place.seeds.clone(),
+        name: config.name.clone(),
+        zone: config.zone.clone(),
+        address: config.peer,
+        seeds: config.seeds.clone(),
     };
-    let target = place.tolerated_losses * 2 + 1;
-    let (consensus, jobs) = Consensus::new(env, identity, who.boot_id, place.bounds.clone(), target, state, guards);
-    let relay = Relay::new(env, who.clone(), place.bounds.clone());
-    let root = Rc::new(Root { consensus: consensus.clone(), leadership: Default::default(), env: env.clone() });
-    let leadership = Leadership::new(env, consensus.clone(), relay.clone(), place, manner, disabled);
-    *root.leadership.borrow_mut() = Some(leadership.clone());
-    relay.set_handler(root);
-    let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
-
-    let desk = [env.spawn(consensus.clone().run(jobs, store)), env.spawn(consensus.clone().ticks())];
+    let target = config.tolerated_losses * 2 + 1;
+    let (consensus, queue) =
+        Consensus::new(env, identity, node_identity.boot_id, config.bounds.clone(), target, state, guards);
+    let relay = Relay::new(env, node_identity.clone(), config.bounds.clone());
+    let handler =
+        Rc::new(ControlNodeHandler { consensus: consensus.clone(), leadership: Default::default(), env: env.clone() });
+    let leadership = Leadership::new(env, consensus.clone(), relay.clone(), config, server_protocol, disabled);
+    *handler.leadership.borrow_mut() = Some(leadership.clone());
+    relay.set_handler(handler);
+    let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
+
+    let consensus_tasks = [env.spawn(consensus.clone().run(queue, store)), env.spawn(consensus.clone().ticks())];
     let mut tree = Supervisor::new(env);
-    let a = consensus.clone();
-    tree.child("peers", move || a.clone().keep_links());
+    let peers = consensus.clone();
+    tree.child("peers", move || peers.clone().keep_links());
     relay.supervise(&mut tree, peer);
-    let d = leadership.clone();
-    tree.child("leadership", move || d.clone().run());
-    let (e, d) = (env.clone(), door.clone());
-    let lag = LoopLag::new(env, place.bounds.control_heartbeat());
-    let l = lag.clone();
-    tree.child("loop lag", move || l.clone().watch());
-    let (r, a) = (relay.clone(), consensus.clone());
+    let task = leadership.clone();
+    tree.child("leadership", move || task.clone().run());
+    let (http_env, http_endpoint) = (env.clone(), endpoint.clone());
+    let lag = LoopLag::new(env, config.bounds.control_heartbeat());
+    let watched_lag = lag.clone();
+    tree.child("loop lag", move || watched_lag.clone().watch());
+    let (http_relay, http_consensus) = (relay.clone(), consensus.clone());
     tree.child("door", move || {
-        let (r, a, l) = (r.clone(), a.clone(), lag.clone());
+        let (relay, consensus, lag) = (http_relay.clone(), http_consensus.clone(), lag.clone());
         let make = Rc::new(move || {
-            Rc::new(Desk { relay: r.clone(), consensus: a.clone(), lag: l.clone() }) as Rc<dyn RequestHandler>
+            Rc::new(HttpHandler { relay: relay.clone(), consensus: consensus.clone(), lag: lag.clone() })
+                as Rc<dyn RequestHandler>
         });
-        http::serve(e.clone(), sock.clone(), d.clone(), make)
+        http::serve(http_env.clone(), listener.clone(), http_endpoint.clone(), make)
     });
-    env.log(Component::Main, format!("hub {} in area {} serves {}", who.name, who.zone, place.http));
-    Ok(Hub { consensus, leadership, relay, door, _tree: tree, _desk: desk })
+    env.log(
+        Component::Main,
+        format!("control node {} in zone {} serves {}", node_identity.name, node_identity.zone, config.http),
+    );
+    Ok(Hub { consensus, leadership, relay, endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
 }
 
 impl Hub {
-    /// Takes a changed address of the platform.
-    pub fn platform(&self, addr: Option<std::net::SocketAddr>) {
-        self.leadership.platform.set(addr);
+    /// Sets the address of the platform.
+    pub fn platform(&self, address: Option<std::net::SocketAddr>) {
+        self.leadership.platform_address.set(address);
     }
 
-    /// Hands over what this hub does and closes its doors.
+    /// Hands leadership over and closes idle connections.
     pub async fn leave(&self) {
         self.consensus.leave().await;
         self.relay.leave();
-        self.door.close_idle();
+        self.endpoint.close_idle();
     }
 }
