--- a/spoke/src/work/trans.rs
+++ b/spoke/src/execution/transaction.rs
@@ -12,94 +12,101 @@
 use bytes::Bytes;
 
 use super::{
-    Cut, Task, WorkContext,
-    session::{Ended, Store, Trans},
-    write::line,
+    ExecutionContext, PendingStatement, SendFailure,
+    session::{EndedTransaction, SessionStore, Transaction},
+    write::epoch_header,
 };
 use crate::pool::StateOwner;
 
-impl WorkContext {
+impl ExecutionContext {
     /// Opens a transaction on a connection of its own, at the leader.
-    pub async fn begin(self: &Rc<Self>, store: &Rc<RefCell<Store>>, task: &Task<'_>) -> HttpResponse {
-        let Task { gate, key, word, body, due } = *task;
+    pub async fn begin(
+        self: &Rc<Self>,
+        store: &Rc<RefCell<SessionStore>>,
+        task: &PendingStatement<'_>,
+    ) -> HttpResponse {
+        let PendingStatement { route: gate, list_key: key, request: word, body, deadline: due } = *task;
         let no = |k: ErrorKind| edge::error_response(k, "", Some(WriteOutcome::NotCommitted));
-        for _ in 0..super::SENDS {
-            let (mut slot, target) = match self.lead(store, task).await {
+        for _ in 0..super::ATTEMPT_LIMIT {
+            let (mut slot, target) = match self.acquire_primary(store, task).await {
                 Ok(both) => both,
                 Err(k) => return no(k),
             };
             let asked = self.env.now();
-            let head =
-                [(client::ATTEMPT_ID_HEADER, word.attempt_id.to_string()), (backend::EPOCH_HEADER, line(&target))];
+            let head = [
+                (client::ATTEMPT_ID_HEADER, word.attempt_id.to_string()),
+                (backend::EPOCH_HEADER, epoch_header(&target)),
+            ];
             // Nothing is kept of a transaction that got no further than its opening.
             let Ok(out) = self.send(&mut slot, &target, Verb::Begin, &head, body.clone(), due).await else {
-                self.gauges.record(key, &target.server, pick::Outcome::Error, self.env.now() - asked);
+                self.health.record(key, &target.server, pick::Outcome::Error, self.env.now() - asked);
                 continue;
             };
-            let signs = self.note(key, &slot, &out, asked);
+            let signs = self.record_response(key, &slot, &out, asked);
             if out.status >= 300 {
-                slot.spoil();
+                slot.taint();
                 if signs.not_executed || signs.failed {
                     return no(if signs.throttled { ErrorKind::Overloaded } else { ErrorKind::NoPrimary });
                 }
                 return self
-                    .hand_on(out, &target.server, store.borrow().token)
+                    .client_response(out, &target.server, store.borrow().token)
                     .with_header(client::WRITE_OUTCOME_HEADER, WriteOutcome::NotCommitted);
             }
-            let ret = self.hand_on(out, &target.server, store.borrow().token);
-            store.borrow_mut().trans = Some(Trans { slot, target, name: gate.name.clone(), idle: None });
-            self.watch(store);
+            let ret = self.client_response(out, &target.server, store.borrow().token);
+            store.borrow_mut().transaction =
+                Some(Transaction { slot, target, database: gate.name.clone(), idle_timer: None });
+            self.start_idle_timer(store);
             return ret;
         }
         no(ErrorKind::NoServer)
     }
 
     /// Ends the transaction if nothing comes within the operator's limit.
-    fn watch(self: &Rc<Self>, store: &Rc<RefCell<Store>>) {
-        let (_, idle) = self.decider.limit();
+    fn start_idle_timer(self: &Rc<Self>, store: &Rc<RefCell<SessionStore>>) {
+        let (_, idle) = self.router.default_timeouts();
         let (me, weak) = (self.clone(), Rc::downgrade(store));
         let job = self.env.spawn(async move {
             me.env.sleep(idle).await;
             let Some(store) = weak.upgrade() else { return };
-            let t = store.borrow_mut().trans.take();
+            let t = store.borrow_mut().transaction.take();
             if let Some(mut t) = t {
-                if let Some(j) = t.idle.take() {
+                if let Some(j) = t.idle_timer.take() {
                     // This very task: it must not end itself.
                     j.detach();
                 }
-                store.borrow_mut().ended = Some(Ended(ErrorKind::TransactionLost));
+                store.borrow_mut().ended = Some(EndedTransaction(ErrorKind::TransactionLost));
                 me.roll_back(t).await;
             }
         });
-        if let Some(t) = &mut store.borrow_mut().trans {
-            t.idle = Some(job);
+        if let Some(t) = &mut store.borrow_mut().transaction {
+            t.idle_timer = Some(job);
         }
     }
 
     /// A statement of an open transaction.
-    pub async fn within(
+    pub async fn execute_in_transaction(
         self: &Rc<Self>,
-        store: &Rc<RefCell<Store>>,
+        store: &Rc<RefCell<SessionStore>>,
         word: &ClientRequest<'_>,
         body: &Bytes,
         due: Duration,
     ) -> HttpResponse {
         let no = |k: ErrorKind, text: &str| edge::error_response(k, text, Some(WriteOutcome::NotCommitted));
-        let Some(mut t) = store.borrow_mut().trans.take() else { return no(ErrorKind::OutOfOrder, "") };
-        t.idle = None;
-        let put = |t: Trans, out: HttpResponse| {
-            store.borrow_mut().trans = Some(t);
-            self.watch(store);
+        let Some(mut t) = store.borrow_mut().transaction.take() else { return no(ErrorKind::OutOfOrder, "") };
+        t.idle_timer = None;
+        let put = |t: Transaction, out: HttpResponse| {
+            store.borrow_mut().transaction = Some(t);
+            self.start_idle_timer(store);
             out
         };
-        if t.name != word.database {
+        if t.database != word.database {
             return put(t, no(ErrorKind::OutOfOrder, "the open transaction is of another database"));
         }
         if word.verb == Verb::Begin {
             return put(t, no(ErrorKind::OutOfOrder, "a transaction is open"));
         }
         let sets = matches!(word.verb, Verb::Set | Verb::Prepare);
-        if sets && !store.borrow().room(&t.name, body.len()) {
+        if sets && !store.borrow().has_room(&t.database, body.len()) {
             return put(t, no(ErrorKind::Overloaded, "the session has too many values and prepared names"));
         }
         if word.verb == Verb::Rollback {
@@ -110,31 +117,34 @@
                 .with_header(client::WRITE_OUTCOME_HEADER, WriteOutcome::NotCommitted);
         }
         // A leader grant that ended, a place being emptied: nothing of it may be committed.
-        let lost = !self.decider.still(&t.target) || !self.decider.open(&t.target);
-        if lost || self.decider.stay().is_err() {
+        let lost = !self.router.is_valid(&t.target) || !self.router.is_usable(&t.target);
+        if lost || self.router.check_continuation().is_err() {
             let me = self.clone();
             self.env.spawn(async move { me.roll_back(t).await }).detach();
             return no(ErrorKind::TransactionLost, "the transaction can't go on; nothing of it is kept");
         }
-        let key = self.gauges.key(word.database, word.label);
+        let key = self.health.list_key(word.database, word.label);
         let asked = self.env.now();
-        let head = [(client::ATTEMPT_ID_HEADER, word.attempt_id.to_string()), (backend::EPOCH_HEADER, line(&t.target))];
+        let head = [
+            (client::ATTEMPT_ID_HEADER, word.attempt_id.to_string()),
+            (backend::EPOCH_HEADER, epoch_header(&t.target)),
+        ];
         let out = self.send(&mut t.slot, &t.target, word.verb, &head, body.clone(), due).await;
         let out = match out {
             Ok(o) => o,
             Err(cut) => {
-                self.gauges.record(&key, &t.target.server, pick::Outcome::Error, self.env.now() - asked);
-                if word.verb == Verb::Commit && !matches!(cut, Cut::Fault(CallError::NotSent)) {
-                    return self.unsure(store);
+                self.health.record(&key, &t.target.server, pick::Outcome::Error, self.env.now() - asked);
+                if word.verb == Verb::Commit && !matches!(cut, SendFailure::Call(CallError::NotSent)) {
+                    return self.outcome_unknown_response(store);
                 }
                 return no(ErrorKind::TransactionLost, "the connection broke; nothing of the transaction is kept");
             }
         };
-        let signs = self.note(&key, &t.slot, &out, asked);
+        let signs = self.record_response(&key, &t.slot, &out, asked);
         if word.verb == Verb::Commit {
-            return self.committed(store, t, signs, out, due).await;
+            return self.finish_commit(store, t, signs, out, due).await;
         }
-        if signs.failed || (word.verb == Verb::Read && !self.decider.still(&t.target)) {
+        if signs.failed || (word.verb == Verb::Read && !self.router.is_valid(&t.target)) {
             let me = self.clone();
             self.env.spawn(async move { me.roll_back(t).await }).detach();
             return no(ErrorKind::TransactionLost, "the server failed; nothing of the transaction is kept");
@@ -142,19 +152,19 @@
         if sets && out.status < 300 {
             let (id, count) = {
                 let s = store.borrow();
-                (s.id, s.states.get(&t.name).map_or(0, Vec::len))
+                (s.id, s.statements.get(&t.database).map_or(0, Vec::len))
             };
-            self.keep_state(store, &t.name, word.verb, body);
-            t.slot.wore(StateOwner { session: id, name: t.name.clone(), count: count + 1 });
+            self.record_session_statement(store, &t.database, word.verb, body);
+            t.slot.set_state_owner(StateOwner { session: id, database: t.database.clone(), statements: count + 1 });
         }
-        let ret = self.hand_on(out, &t.target.server, store.borrow().token);
+        let ret = self.client_response(out, &t.target.server, store.borrow().token);
         put(t, ret)
     }
 
-    async fn committed(
+    async fn finish_commit(
         self: &Rc<Self>,
-        store: &Rc<RefCell<Store>>,
-        mut t: Trans,
+        store: &Rc<RefCell<SessionStore>>,
+        mut t: Transaction,
         signs: backend::ResponseMetadata,
         out: HttpResponse,
         due: Duration,
@@ -162,13 +172,14 @@
         if out.status < 300 {
             let target = t.target.clone();
             drop(t);
-            return self.settle(store, &target, signs.position, out, due).await;
+            return self.confirm_commit(store, &target, signs.position, out, due).await;
         }
-        t.slot.spoil();
+        t.slot.taint();
         if signs.failed && !signs.not_executed {
-            return self.unsure(store);
+            return self.outcome_unknown_response(store);
         }
         let token = store.borrow().token;
-        self.hand_on(out, &t.target.server, token).with_header(client::WRITE_OUTCOME_HEADER, WriteOutcome::NotCommitted)
+        self.client_response(out, &t.target.server, token)
+            .with_header(client::WRITE_OUTCOME_HEADER, WriteOutcome::NotCommitted)
     }
 }
--- a/spoke/src/gauge/sample.rs
+++ b/spoke/src/health/sample.rs
@@ -9,33 +9,33 @@
 };
 use bytes::Bytes;
 
-use super::Gauges;
+use super::HealthMeasurements;
 use crate::{pool::Pool, run::Pools, view::Event};
 
 /// A follower is read so many times as seldom as its leader.
 const FOLLOWER_FACTOR: u32 = 4;
 
-impl Gauges {
+impl HealthMeasurements {
     /// Keeps one reading task for each server, in the standing list or not.
-    pub async fn samples(self: Rc<Self>, pools: Rc<Pools>) -> Result<(), Infallible> {
+    pub async fn run_sampling(self: Rc<Self>, pools: Rc<Pools>) -> Result<(), Infallible> {
         let mut jobs: BTreeMap<String, (Rc<Pool>, TaskGuard)> = BTreeMap::new();
         loop {
-            let seen = pools.bell.generation();
+            let seen = pools.changed.generation();
             let all = pools.all();
             jobs.retain(|s, (p, _)| all.get(s).is_some_and(|q| Rc::ptr_eq(p, q)));
             for (s, p) in all {
                 jobs.entry(s).or_insert_with(|| {
                     let (me, pool) = (self.clone(), p.clone());
-                    (p, self.env.spawn(async move { me.sample(pool).await }))
+                    (p, self.env.spawn(async move { me.sample_server(pool).await }))
                 });
             }
-            pools.bell.changed_since(seen).await;
+            pools.changed.changed_since(seen).await;
         }
     }
 
     /// Reads a server in the users' manner where nothing else was heard of it for a while: the leader within a part of
     /// the freshness bound, the others a few times within the drain bound.
-    async fn listen(&self, pool: Rc<Pool>) {
+    async fn sample_idle_server(&self, pool: Rc<Pool>) {
         let server = pool.server.clone();
         let said = Statement::internal(StatementKind::Status);
         loop {
@@ -43,103 +43,104 @@
                 let b = self.bounds.borrow();
                 (b.call_timeout(), b.server_missed_after())
             };
-            self.env.sleep(if pool.reading_factor() > 1 { rare / 2 } else { rare / 8 }).await;
+            self.env.sleep(if pool.sampling_factor() > 1 { rare / 2 } else { rare / 8 }).await;
             let now = self.env.now();
-            let leads = self.journal.view().leads.values().any(|l| l.server == server);
-            let x = self.sight(&server);
+            let leads = self.journal.view().primary_leases.values().any(|l| l.server == server);
+            let x = self.observation(&server);
             let due = if leads { rare } else { rare * FOLLOWER_FACTOR };
-            let due = due * pool.reading_factor();
-            let heard = x.at.is_some_and(|t| now < t + due) && x.open.is_none_or(|t| now < t + rare / 4);
+            let due = due * pool.sampling_factor();
+            let heard =
+                x.last_response_at.is_some_and(|t| now < t + due) && x.pending_since.is_none_or(|t| now < t + rare / 4);
             if pool.limit() == 0 {
                 // Nothing is asked here now; what went unanswered before tells nothing of later.
-                self.unasked(&server);
-                pool.rest();
+                self.clear_pending(&server);
+                pool.clear_connecting();
                 continue;
             }
             if heard {
                 continue;
             }
             // Connections that the server ended show it only when used; the next one may be good.
-            while !self.ask(&pool, &said, span).await {}
+            while !self.probe(&pool, &said, span).await {}
         }
     }
 
     /// Asks a server where it stands; false where the connection turned out to be ended.
-    async fn ask(&self, pool: &Rc<Pool>, said: &Statement, span: Duration) -> bool {
+    async fn probe(&self, pool: &Rc<Pool>, said: &Statement, span: Duration) -> bool {
         let server = &pool.server;
-        self.sent(server);
+        self.record_sent(server);
         let start = self.env.now();
         let had = pool.idle();
-        let mut slot = match pool.get(start + span).await {
+        let mut slot = match pool.acquire(start + span).await {
             Ok(s) => s,
             Err(ErrorKind::Overloaded) => {
-                self.answered(server, start, None);
+                self.record_response(server, start, None);
                 return true;
             }
             Err(_) => {
-                self.missed(server, self.env.now() - start < span / 4);
+                self.record_failed_read(server, self.env.now() - start < span / 4);
                 return true;
             }
         };
         let asked = self.env.now();
-        self.reads.set(self.reads.get() + 1);
-        match slot.say(said, None, asked + span).await {
+        self.position_reads.set(self.position_reads.get() + 1);
+        match slot.execute(said, None, asked + span).await {
             Ok(reply) => {
                 self.record_probe(server, true);
-                self.answered(server, asked, reply.position);
+                self.record_response(server, asked, reply.position);
                 true
             }
             Err(_) if had > 0 && self.env.now() - asked < span / 4 => false,
             Err(_) => {
-                self.missed(server, false);
+                self.record_failed_read(server, false);
                 true
             }
         }
     }
 
-    async fn sample(&self, pool: Rc<Pool>) {
-        if pool.speech.is_some() {
-            return self.listen(pool).await;
+    async fn sample_server(&self, pool: Rc<Pool>) {
+        if pool.protocol.is_some() {
+            return self.sample_idle_server(pool).await;
         }
         let server = pool.server.clone();
         loop {
             let step = self.bounds.borrow().sampling_interval();
             let span = self.bounds.borrow().call_timeout();
             let start = self.env.now();
-            let slot = pool.get(start + span).await;
+            let slot = pool.acquire(start + span).await;
             let Ok(mut slot) = slot else {
                 if pool.limit() > 0 {
-                    self.missed(&server, self.env.now() - start < span / 4);
+                    self.record_failed_read(&server, self.env.now() - start < span / 4);
                 }
                 self.env.sleep(step / 2).await;
                 continue;
             };
             loop {
                 if pool.limit() == 0 {
-                    slot.spoil();
+                    slot.taint();
                     break;
                 }
-                let seen = self.wanted.generation();
+                let seen = self.position_wanted.generation();
                 let asked = self.env.now();
-                let reach = self.wants(&server);
+                let reach = self.awaited_position(&server);
                 let path = match reach {
                     Some(p) => format!("{}?reach={p}", backend::POSITION_PATH),
                     None => backend::POSITION_PATH.to_string(),
                 };
-                self.reads.set(self.reads.get() + 1);
+                self.position_reads.set(self.position_reads.get() + 1);
                 let Ok(out) = slot.call(&path, &[], Bytes::new(), asked + span).await else {
-                    self.missed(&server, self.env.now() - asked < span / 4);
+                    self.record_failed_read(&server, self.env.now() - asked < span / 4);
                     break;
                 };
                 let signs = backend::response_metadata(&out);
                 let Some(place) = signs.position else {
-                    self.missed(&server, false);
+                    self.record_failed_read(&server, false);
                     break;
                 };
                 self.record_probe(&server, true);
-                self.placed(&server, asked, place, signs.log_id);
+                self.record_position(&server, asked, place, signs.log_id);
                 self.journal.append(Event::Draining { server: server.clone(), draining: signs.draining });
-                self.rest(&server, seen, step).await;
+                self.wait_for_next_sample(&server, seen, step).await;
             }
             drop(slot);
             self.env.sleep(step / 4).await;
@@ -147,46 +148,46 @@
     }
 
     /// Rests for a step, or until someone waits for a commit here.
-    async fn rest(&self, server: &str, mut seen: u64, step: Duration) {
+    async fn wait_for_next_sample(&self, server: &str, mut seen: u64, step: Duration) {
         let end = self.env.now() + step;
-        while self.wants(server).is_none() {
+        while self.awaited_position(server).is_none() {
             let left = end.saturating_sub(self.env.now());
-            if left.is_zero() || self.env.timeout(left, self.wanted.changed_since(seen)).await.is_err() {
+            if left.is_zero() || self.env.timeout(left, self.position_wanted.changed_since(seen)).await.is_err() {
                 return;
             }
-            seen = self.wanted.generation();
+            seen = self.position_wanted.generation();
         }
     }
 
-    fn wants(&self, server: &str) -> Option<Position> {
-        let s = self.sights.borrow();
+    fn awaited_position(&self, server: &str) -> Option<Position> {
+        let s = self.observations.borrow();
         let s = s.get(server)?;
-        (s.reach > s.place).then_some(s.reach)
+        (s.awaited_position > s.position).then_some(s.awaited_position)
     }
 
-    fn missed(&self, server: &str, refused: bool) {
+    fn record_failed_read(&self, server: &str, refused: bool) {
         self.record_probe(server, false);
-        let mut sights = self.sights.borrow_mut();
+        let mut sights = self.observations.borrow_mut();
         let s = sights.entry(server.into()).or_default();
-        s.fails += 1;
-        s.refused = if refused { s.refused + 1 } else { 0 };
-        if s.fails == 3 {
+        s.failed_reads += 1;
+        s.refused_connections = if refused { s.refused_connections + 1 } else { 0 };
+        if s.failed_reads == 3 {
             self.env.log(Component::Pool, format!("{server} does not answer"));
         }
         drop(sights);
-        self.moved.notify_waiters();
+        self.position_changed.notify_waiters();
     }
 
     /// Asks a server's reading task to look for a commit.
-    pub fn look_for(&self, server: &str, place: Position) {
+    pub fn await_position(&self, server: &str, place: Position) {
         {
-            let mut sights = self.sights.borrow_mut();
+            let mut sights = self.observations.borrow_mut();
             let s = sights.entry(server.into()).or_default();
-            if s.reach >= place {
+            if s.awaited_position >= place {
                 return;
             }
-            s.reach = place;
+            s.awaited_position = place;
         }
-        self.wanted.notify_waiters();
+        self.position_wanted.notify_waiters();
     }
 }
--- a/spoke/src/door/mod.rs
+++ b/spoke/src/http_endpoint/mod.rs
@@ -1,6 +1,6 @@
 //! The HTTP door of a spoke: callers, operators, servers, status.
 
-mod show;
+mod status;
 
 use std::rc::Rc;
 
@@ -12,25 +12,25 @@
 };
 use wire::relay::Relay;
 
-use crate::work::Caller;
+use crate::execution::HttpSession;
 
-pub use show::StatusPages;
+pub use status::StatusPages;
 
 /// One connection: a caller's session, or an operator or server passing by.
-pub struct Guest {
-    pub caller: Caller,
+pub struct NodeConnection {
+    pub session: HttpSession,
     pub relay: Rc<Relay>,
-    pub show: Rc<StatusPages>,
+    pub status_pages: Rc<StatusPages>,
 }
 
-impl RequestHandler for Guest {
+impl RequestHandler for NodeConnection {
     fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let path = ask.path.split('?').next().unwrap_or("");
         if path.starts_with("/db/") {
-            return self.caller.handle(ask);
+            return self.session.handle(ask);
         }
         if ask.method == hyper::Method::GET
-            && let Some(out) = self.show.page(path)
+            && let Some(out) = self.status_pages.page(path)
         {
             return Box::pin(async move { out });
         }
@@ -42,6 +42,6 @@
     }
 
     fn can_close(&self) -> bool {
-        self.caller.can_close()
+        self.session.can_close()
     }
 }
--- a/spoke/src/door/show.rs
+++ b/spoke/src/http_endpoint/status.rs
@@ -4,7 +4,7 @@
 use nanoserde::SerJson;
 use wire::relay::Relay;
 
-use crate::work::WorkContext;
+use crate::execution::ExecutionContext;
 
 strict! {
     /// A spoke's state in short.
@@ -19,7 +19,7 @@
         pub parent: String,
         pub depth: u64,
         pub children: Vec<String>,
-        pub leads: Vec<LeadRow>,
+        pub leads: Vec<PrimaryLeaseRow>,
         pub emptied: Vec<String>,
         pub pools: Vec<PoolRow>,
         pub counts: Counts,
@@ -28,7 +28,7 @@
 
 strict! {
     /// A leader grant.
-    pub struct LeadRow {
+    pub struct PrimaryLeaseRow {
         pub group: String,
         pub server: String,
         pub line: u64,
@@ -70,7 +70,7 @@
 
 strict! {
     /// A standing list with the weights inside it.
-    pub struct ListRow {
+    pub struct SelectionListRow {
         pub database: String,
         pub kind: String,
         pub eligible: Vec<String>,
@@ -91,13 +91,13 @@
     pub struct DecisionRow {
         pub ago_ms: u64,
         pub fault: Option<String>,
-        pub servers: Vec<VerdictRow>,
+        pub servers: Vec<ServerDecisionRow>,
     }
 }
 
 strict! {
     /// How a server fared.
-    pub struct VerdictRow {
+    pub struct ServerDecisionRow {
         pub server: String,
         pub eligible: bool,
         pub why: String,
@@ -114,9 +114,9 @@
 
 /// Answers what operators look at on this very node.
 pub struct StatusPages {
-    pub works: Rc<WorkContext>,
+    pub context: Rc<ExecutionContext>,
     pub relay: Rc<Relay>,
-    pub lag: Rc<LoopLag>,
+    pub loop_lag: Rc<LoopLag>,
 }
 
 fn json(out: &impl SerJson) -> HttpResponse {
@@ -140,7 +140,7 @@
     }
 
     fn counts(&self) -> Counts {
-        let t = &self.works.tally;
+        let t = &self.context.counters;
         Counts {
             reads: t.reads.get(),
             writes: t.writes.get(),
@@ -148,37 +148,37 @@
             unknown: t.unknown.get(),
             retried: t.retried.get(),
             sessions: t.sessions.get(),
-            evaluations: self.works.gauges.runs.get(),
-            readings: self.works.gauges.reads.get(),
+            evaluations: self.context.health.evaluation_count.get(),
+            readings: self.context.health.position_reads.get(),
             corrupt: self.relay.corrupt_frames.get(),
             relayed: self.relay.forwarded_frames.get(),
         }
     }
 
     fn status(&self) -> Status {
-        let now = self.works.env.now();
-        let admit = self.works.decider.admit();
-        let view = self.works.journal.view();
+        let now = self.context.env.now();
+        let admit = self.context.router.check_admission();
+        let view = self.context.journal.view();
         let (parent, depth) = self.relay.tree_position();
-        let leads = view.leads.iter().map(|(g, l)| LeadRow {
+        let leads = view.primary_leases.iter().map(|(g, l)| PrimaryLeaseRow {
             group: g.clone(),
             server: l.server.clone(),
-            line: l.line,
-            left_ms: ms(l.until.saturating_sub(now)),
+            line: l.epoch,
+            left_ms: ms(l.valid_until.saturating_sub(now)),
         });
-        let pools = self.works.pools.all().into_iter().map(|(name, p)| {
+        let pools = self.context.pools.all().into_iter().map(|(name, p)| {
             let s = view.servers.get(&name).cloned().unwrap_or_default();
-            let x = self.works.gauges.sight(&name);
+            let x = self.context.health.observation(&name);
             PoolRow {
                 server: name,
                 share: p.limit() as u64,
                 open: p.open() as u64,
-                used: p.used() as u64,
+                used: p.in_use() as u64,
                 waiting: p.waiting() as u64,
                 lag: x.lag,
-                position: x.place.to_string(),
-                draining: s.draining.is_some(),
-                gone: s.gone.is_some(),
+                position: x.position.to_string(),
+                draining: s.draining_since.is_some(),
+                gone: s.gone_since.is_some(),
                 cold: s.cold,
             }
         });
@@ -188,13 +188,13 @@
             serving: admit.is_ok(),
             why: admit.err().map(|k| k.to_string()).unwrap_or_default(),
             sequence: view.image.as_ref().map_or(0, |i| i.sequence),
-            confirmed_ms: view.confirmed.map(|c| ms(now.saturating_sub(c))),
+            confirmed_ms: view.confirmed_at.map(|c| ms(now.saturating_sub(c))),
             fed: self.relay.reaches_leader(),
             parent,
             depth: u64::from(depth),
             children: self.relay.children(),
             leads: leads.collect(),
-            emptied: view.emptied.keys().cloned().collect(),
+            emptied: view.evacuated_since.keys().cloned().collect(),
             pools: pools.collect(),
             counts: self.counts(),
         }
@@ -235,10 +235,10 @@
                 "servers_without_share",
                 "gauge",
                 "servers that this node may open no connection to",
-                self.works.pools.without_share() as u64,
+                self.context.pools.without_share() as u64,
             ),
-            ("loop_lag_ms", "gauge", "how late tasks ran when last measured", ms(self.lag.newest())),
-            ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", ms(self.lag.worst())),
+            ("loop_lag_ms", "gauge", "how late tasks ran when last measured", ms(self.loop_lag.newest())),
+            ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", ms(self.loop_lag.worst())),
         ]);
         let mut text = String::from_utf8_lossy(&out.body).into_owned();
         for (what, help) in [
@@ -249,8 +249,9 @@
         ] {
             text.push_str(&metrics::header_lines(&format!("connections_{what}"), "gauge", help));
         }
-        for (name, p) in self.works.pools.all() {
-            for (what, n) in [("share", p.limit()), ("open", p.open()), ("used", p.used()), ("waiting", p.waiting())] {
+        for (name, p) in self.context.pools.all() {
+            for (what, n) in [("share", p.limit()), ("open", p.open()), ("used", p.in_use()), ("waiting", p.waiting())]
+            {
                 text.push_str(&format!("portspoke_connections_{what}{{server=\"{name}\"}} {n}\n"));
             }
         }
@@ -259,7 +260,7 @@
             "gauge",
             "entries kept under the names of servers, groups and doorways",
         ));
-        for (what, count) in self.kept() {
+        for (what, count) in self.entry_counts() {
             text.push_str(&format!("portspoke_kept_entries{{of=\"{what}\"}} {count}\n"));
         }
         out.body = text.into();
@@ -267,46 +268,46 @@
     }
 
     /// How many entries are kept under names that may come and go.
-    fn kept(&self) -> [(&'static str, usize); 9] {
-        let view = self.works.journal.view();
-        let [sights, heads, lists] = self.works.gauges.kept();
+    fn entry_counts(&self) -> [(&'static str, usize); 9] {
+        let view = self.context.journal.view();
+        let [sights, heads, lists] = self.context.health.entry_counts();
         [
             ("sights", sights),
             ("heads", heads),
             ("lists", lists),
             ("servers", view.servers.len()),
             ("shares", view.shares.len()),
-            ("leads", view.leads.len()),
-            ("zones", view.emptied.len()),
-            ("pools", self.works.pools.all().len()),
+            ("leads", view.primary_leases.len()),
+            ("zones", view.evacuated_since.len()),
+            ("pools", self.context.pools.all().len()),
             ("routes", self.relay.routes()),
         ]
     }
 
-    fn lists(&self) -> Vec<ListRow> {
-        let lists = self.works.gauges.lists.borrow();
-        let row = |((database, kind), l): (&crate::gauge::Key, &crate::gauge::List)| ListRow {
+    fn lists(&self) -> Vec<SelectionListRow> {
+        let lists = self.context.health.lists.borrow();
+        let row = |((database, kind), l): (&crate::health::ListKey, &crate::health::SelectionList)| SelectionListRow {
             database: database.clone(),
             kind: kind.clone(),
-            eligible: l.standing.set().map(<[_]>::to_vec).unwrap_or_default(),
+            eligible: l.eligible.set().map(<[_]>::to_vec).unwrap_or_default(),
             weights: l.weights.iter().map(|(s, w)| WeightRow { server: s.clone(), weight: *w }).collect(),
         };
         lists.iter().map(row).collect()
     }
 
     fn journal(&self) -> Vec<String> {
-        let now = self.works.env.now();
-        let lines = self.works.journal.lines();
+        let now = self.context.env.now();
+        let lines = self.context.journal.lines();
         lines.into_iter().map(|(t, l)| format!("{} ms ago: {l}", ms(now.saturating_sub(t)))).collect()
     }
 
     /// The ring of past decisions of a database (`NAME` or `NAME/KIND`), newest first.
     fn decisions(&self, name: &str) -> Vec<DecisionRow> {
-        let now = self.works.env.now();
+        let now = self.context.env.now();
         let (name, kind) = name.split_once('/').unwrap_or((name, "*"));
-        let lists = self.works.gauges.lists.borrow();
+        let lists = self.context.health.lists.borrow();
         let Some(list) = lists.get(&(name.to_string(), kind.to_string())) else { return Vec::new() };
-        let verdict = |v: &pick::ServerDecision| VerdictRow {
+        let verdict = |v: &pick::ServerDecision| ServerDecisionRow {
             server: v.name.clone(),
             eligible: v.eligible,
             why: v.reason.as_str().into(),
@@ -319,7 +320,7 @@
             p99: v.metrics.p99,
             lag: v.metrics.lag,
         };
-        let rows: Vec<_> = list.standing.ring().collect();
+        let rows: Vec<_> = list.eligible.ring().collect();
         rows.into_iter()
             .rev()
             .map(|d| DecisionRow {
--- a/spoke/src/lib.rs
+++ b/spoke/src/lib.rs
@@ -1,15 +1,15 @@
 //! The data plane: callers' sessions, shared connections, reads by the standing list, writes by the leader grant.
 
-mod decide;
-mod door;
-mod gauge;
+mod execution;
+mod health;
+mod http_endpoint;
 mod on_platform;
 mod pool;
+mod protocol;
+mod routing;
 pub mod run;
-mod talk;
 mod view;
-mod work;
 
+pub use execution::Attempts;
 pub use on_platform::PlatformSpoke;
-pub use run::{DisabledGuards, Spoke, run, run_in};
-pub use work::Attempts;
+pub use run::{DisabledGuards, Node, run, run_with_protocol};
--- a/spoke/src/on_platform.rs
+++ b/spoke/src/on_platform.rs
@@ -12,13 +12,13 @@
 };
 use platform::Given;
 
-use crate::{DisabledGuards, Spoke, run_in};
+use crate::{DisabledGuards, Node, run_with_protocol};
 
 /// A spoke that serves callers in the users' manner.
 pub struct PlatformSpoke {
     env: Env,
-    pub spoke: Spoke,
-    door: Endpoint,
+    pub node: Node,
+    endpoint: Endpoint,
     grace: Duration,
     _tree: Supervisor,
 }
@@ -29,7 +29,7 @@
 }
 
 /// Wakes the door's sessions when this node can no longer do anything for them.
-async fn able(
+async fn close_idle_when_not_ready(
     env: Env,
     door: Endpoint,
     host: Rc<dyn SessionProvider>,
@@ -50,8 +50,8 @@
 impl PlatformSpoke {
     /// Starts it; it runs for as long as the returned value lives.
     pub async fn start(env: &Env, given: &Given, place: &NodeConfig, disabled: DisabledGuards) -> io::Result<Self> {
-        let spoke = run_in(env, place, disabled, Some(platform::Speech::shared())).await?;
-        let host = spoke.host();
+        let node = run_with_protocol(env, place, disabled, Some(platform::Speech::shared())).await?;
+        let host = node.session_provider();
         let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
         let probe = Endpoint::new(64, 1 << 10);
         let mut tree = Supervisor::new(env);
@@ -59,7 +59,7 @@
             let sock = bind(env, addr).await?;
             let (e, d, h) = (env.clone(), door.clone(), host.clone());
             let step = place.bounds.control_heartbeat();
-            tree.child("able", move || able(e.clone(), d.clone(), h.clone(), step));
+            tree.child("able", move || close_idle_when_not_ready(e.clone(), d.clone(), h.clone(), step));
             let (e, d, h) = (env.clone(), door.clone(), host.clone());
             tree.child("access", move || platform::serve(e.clone(), sock.clone(), d.clone(), h.clone()));
         }
@@ -74,7 +74,7 @@
             tree.child("ready", move || http::serve(e.clone(), sock.clone(), p.clone(), make.clone()));
         }
         let grace = Duration::from_millis(given.grace);
-        Ok(Self { env: env.clone(), spoke, door, grace, _tree: tree })
+        Ok(Self { env: env.clone(), node, endpoint: door, grace, _tree: tree })
     }
 
     /// Says that no new callers are wanted, serves on until that is known, then lets each session go once nothing of it
@@ -82,21 +82,22 @@
     /// told so.
     pub async fn leave(&self) {
         let start = self.env.now();
-        self.door.draining.set(true);
+        self.endpoint.draining.set(true);
         self.env.sleep(self.grace * 5 / 12).await;
-        self.door.close_idle();
+        self.endpoint.close_idle();
         self.until_closed(start + self.grace / 2).await;
-        self.door.close_transactions();
+        self.endpoint.close_transactions();
         self.until_closed(start + self.grace * 10 / 12).await;
-        self.door.abort_statements();
+        self.endpoint.abort_statements();
         self.until_closed(self.env.now() + self.grace / 24).await;
-        self.env.log(Component::Main, format!("{} sessions left open at the end", self.door.open_connections.get()));
-        self.spoke.hand_back().await;
+        self.env
+            .log(Component::Main, format!("{} sessions left open at the end", self.endpoint.open_connections.get()));
+        self.node.release_all().await;
     }
 
     /// Waits until no session is open, or until this moment.
     async fn until_closed(&self, end: Duration) {
-        while self.door.open_connections.get() > 0 && self.env.now() < end {
+        while self.endpoint.open_connections.get() > 0 && self.env.now() < end {
             self.env.sleep(self.grace / 120).await;
         }
     }
--- a/spoke/src/pool/mod.rs
+++ b/spoke/src/pool/mod.rs
@@ -24,8 +24,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateOwner {
     pub session: u64,
-    pub name: String,
-    pub count: usize,
+    pub database: String,
+    pub statements: usize,
 }
 
 /// Session values and prepared names that a connection in the users' manner wears.
@@ -33,65 +33,65 @@
 pub struct AppliedState {
     values: BTreeMap<String, String>,
     /// By what was prepared, the name it has on this connection; callers' own names clash.
-    names: BTreeMap<String, String>,
+    prepared_names: BTreeMap<String, String>,
 }
 
-enum Link {
+enum ConnectionKind {
     Http(Client),
-    Talk(Box<dyn ServerConnection>, AppliedState),
+    Protocol(Box<dyn ServerConnection>, AppliedState),
 }
 
-impl Link {
-    fn open(&mut self) -> bool {
+impl ConnectionKind {
+    fn is_open(&mut self) -> bool {
         match self {
-            Link::Http(c) => c.is_open(),
-            Link::Talk(l, _) => l.is_open(),
+            ConnectionKind::Http(c) => c.is_open(),
+            ConnectionKind::Protocol(l, _) => l.is_open(),
         }
     }
 }
 
-struct Conn {
-    line: Link,
-    dress: Option<StateOwner>,
+struct PooledConnection {
+    link: ConnectionKind,
+    state_owner: Option<StateOwner>,
     /// Since when it rests, while it does.
-    resting_since: Duration,
+    idle_since: Duration,
 }
 
 /// How many nodes may each read a server's position at the full rate.
 const READERS_AT_FULL_RATE: u64 = 12;
 
 /// How sessions in the users' manner are opened: the manner and the group's name.
-pub type Speech = Option<(Rc<dyn ServerProtocol>, String)>;
+pub type GroupProtocol = Option<(Rc<dyn ServerProtocol>, String)>;
 
 /// The connections to one server.
 pub struct Pool {
     env: Env,
     pub server: String,
     pub addr: SocketAddr,
-    limit: Cell<usize>,
+    max_open: Cell<usize>,
     open: Cell<usize>,
-    used: Cell<usize>,
-    peak: Cell<usize>,
-    idle: RefCell<Vec<Conn>>,
-    inbox: RefCell<VecDeque<oneshot::Sender<Slot>>>,
-    most: usize,
+    in_use: Cell<usize>,
+    peak_in_use: Cell<usize>,
+    idle: RefCell<Vec<PooledConnection>>,
+    waiters: RefCell<VecDeque<oneshot::Sender<Slot>>>,
+    max_waiters: usize,
     /// How long opening a connection may take.
-    dial: Duration,
+    connect_timeout: Duration,
     /// How long a connection may rest where connections are scarce.
-    resting: Duration,
+    max_idle: Duration,
     /// More nodes want a connection than the server takes.
     pub scarce: Cell<bool>,
     /// How many nodes share the server's connections.
     pub sharers: Cell<u64>,
     /// Until when no connection is opened, as the server turned one away.
-    shy: Cell<Duration>,
+    connect_backoff_until: Cell<Duration>,
     /// Since when no connection could be opened, while some were tried.
-    trying: Cell<Option<Duration>>,
-    pub speech: Speech,
+    connecting_since: Cell<Option<Duration>>,
+    pub protocol: GroupProtocol,
     /// How many connections were opened.
     pub opened: Cell<u64>,
     /// How many requests were turned away because the inbox was full.
-    pub full: Cell<u64>,
+    pub rejected_full: Cell<u64>,
 }
 
 impl Pool {
@@ -103,28 +103,28 @@
         most: usize,
         dial: Duration,
         resting: Duration,
-        speech: Speech,
+        speech: GroupProtocol,
     ) -> Rc<Self> {
         Rc::new(Self {
             env: env.clone(),
             server: server.into(),
             addr,
-            limit: Cell::new(0),
+            max_open: Cell::new(0),
             open: Cell::new(0),
-            used: Cell::new(0),
-            peak: Cell::new(0),
+            in_use: Cell::new(0),
+            peak_in_use: Cell::new(0),
             idle: RefCell::default(),
-            inbox: RefCell::default(),
-            most,
-            dial,
-            resting,
+            waiters: RefCell::default(),
+            max_waiters: most,
+            connect_timeout: dial,
+            max_idle: resting,
             scarce: Cell::default(),
             sharers: Cell::new(1),
-            shy: Cell::default(),
-            trying: Cell::default(),
-            speech,
+            connect_backoff_until: Cell::default(),
+            connecting_since: Cell::default(),
+            protocol: speech,
             opened: Cell::new(0),
-            full: Cell::new(0),
+            rejected_full: Cell::new(0),
         })
     }
 
@@ -134,13 +134,13 @@
     }
 
     /// Since when opening a connection has brought nothing.
-    pub fn trying(&self) -> Option<Duration> {
-        self.trying.get()
+    pub fn connecting_since(&self) -> Option<Duration> {
+        self.connecting_since.get()
     }
 
     /// Nothing is tried here any more.
-    pub fn rest(&self) {
-        self.trying.set(None);
+    pub fn clear_connecting(&self) {
+        self.connecting_since.set(None);
     }
 
     /// How many connections rest.
@@ -150,61 +150,61 @@
 
     /// How many may be open.
     pub fn limit(&self) -> usize {
-        self.limit.get()
+        self.max_open.get()
     }
 
     /// How many times as seldom this node reads the server's position, so that all who share it together ask no more often
     /// than a few nodes would.
-    pub fn reading_factor(&self) -> u32 {
+    pub fn sampling_factor(&self) -> u32 {
         u32::try_from(self.sharers.get() / READERS_AT_FULL_RATE).unwrap_or(u32::MAX).max(1)
     }
 
     /// How many sessions wait.
     pub fn waiting(&self) -> usize {
-        self.inbox.borrow().len()
+        self.waiters.borrow().len()
     }
 
     /// How many connections are in use.
-    pub fn used(&self) -> usize {
-        self.used.get()
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 
     /// What this pool could use: the most at once since last asked, those who wait, and one to spare.
-    pub fn want(&self) -> usize {
-        let want = self.peak.get() + self.waiting() + 1;
-        self.peak.set(self.used.get().max(self.peak.get() * 3 / 4));
+    pub fn wanted(&self) -> usize {
+        let want = self.peak_in_use.get() + self.waiting() + 1;
+        self.peak_in_use.set(self.in_use.get().max(self.peak_in_use.get() * 3 / 4));
         want
     }
 
     /// Changes how many may be open; closes idle ones above it, lets those in who wait.
     pub fn set_limit(self: &Rc<Self>, limit: usize) {
-        self.limit.set(limit);
+        self.max_open.set(limit);
         while self.open.get() > limit {
             let Some(c) = self.idle.borrow_mut().pop() else { break };
             drop(c);
             self.open.set(self.open.get() - 1);
         }
         if limit == 0 {
-            self.inbox.borrow_mut().clear();
+            self.waiters.borrow_mut().clear();
         }
-        self.admit();
+        self.admit_waiters();
     }
 
     /// Closes connections to a scarce server that have rested for long enough: others want them.
-    pub fn give_back_resting(self: &Rc<Self>) {
+    pub fn close_long_idle(self: &Rc<Self>) {
         if !self.scarce.get() || self.idle.borrow().is_empty() {
             return;
         }
         let now = self.env.now();
         let mut idle = self.idle.borrow_mut();
         let before = idle.len();
-        idle.retain(|conn| now < conn.resting_since + self.resting);
+        idle.retain(|conn| now < conn.idle_since + self.max_idle);
         self.open.set(self.open.get() - (before - idle.len()));
     }
 
-    fn admit(self: &Rc<Self>) {
-        while self.open.get() < self.limit.get() && !self.shies() {
-            let Some(next) = self.inbox.borrow_mut().pop_front() else { return };
+    fn admit_waiters(self: &Rc<Self>) {
+        while self.open.get() < self.max_open.get() && !self.is_backing_off() {
+            let Some(next) = self.waiters.borrow_mut().pop_front() else { return };
             self.open.set(self.open.get() + 1);
             // A waiter that has left gives the slot back as it is dropped.
             let _ = next.send(Slot::new(self, None));
@@ -212,55 +212,55 @@
     }
 
     /// Waits in turn for a connection, until `due` at the latest.
-    pub async fn get(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
+    pub async fn acquire(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
         loop {
-            let mut slot = self.turn(due).await?;
+            let mut slot = self.acquire_slot(due).await?;
             let Err(kind) = slot.connect(due).await else { return Ok(slot) };
             drop(slot);
             // Where no new connection can be had, one that stands may still carry it.
-            if self.speech.is_none() || self.open.get() == 0 || self.env.now() >= due {
+            if self.protocol.is_none() || self.open.get() == 0 || self.env.now() >= due {
                 return Err(kind);
             }
-            self.shy.set(self.env.now() + self.dial / 8);
+            self.connect_backoff_until.set(self.env.now() + self.connect_timeout / 8);
         }
     }
 
     /// Whether no connection is to be opened just now.
-    fn shies(&self) -> bool {
-        self.env.now() < self.shy.get() && self.open.get() > 0
+    fn is_backing_off(&self) -> bool {
+        self.env.now() < self.connect_backoff_until.get() && self.open.get() > 0
     }
 
-    async fn turn(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
+    async fn acquire_slot(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
         loop {
-            let end = if self.shies() { due.min(self.shy.get()) } else { due };
-            match self.wait_turn(end).await {
+            let end = if self.is_backing_off() { due.min(self.connect_backoff_until.get()) } else { due };
+            match self.try_acquire_slot(end).await {
                 Err(ErrorKind::DeadlineExceeded) if end < due => {}
                 out => return out,
             }
         }
     }
 
-    async fn wait_turn(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
-        if self.limit.get() == 0 {
+    async fn try_acquire_slot(self: &Rc<Self>, due: Duration) -> Result<Slot, ErrorKind> {
+        if self.max_open.get() == 0 {
             return Err(ErrorKind::NoServer);
         }
         loop {
             let Some(mut c) = self.idle.borrow_mut().pop() else { break };
-            if c.line.open() {
+            if c.link.is_open() {
                 return Ok(Slot::new(self, Some(c)));
             }
             self.open.set(self.open.get() - 1);
         }
-        if self.open.get() < self.limit.get() && !self.shies() {
+        if self.open.get() < self.max_open.get() && !self.is_backing_off() {
             self.open.set(self.open.get() + 1);
             return Ok(Slot::new(self, None));
         }
-        if self.inbox.borrow().len() >= self.most {
-            self.full.set(self.full.get() + 1);
+        if self.waiters.borrow().len() >= self.max_waiters {
+            self.rejected_full.set(self.rejected_full.get() + 1);
             return Err(ErrorKind::Overloaded);
         }
         let (give, wait) = oneshot::channel();
-        self.inbox.borrow_mut().push_back(give);
+        self.waiters.borrow_mut().push_back(give);
         let span = due.saturating_sub(self.env.now());
         match self.env.timeout(span, wait).await {
             Ok(Ok(slot)) => Ok(slot),
@@ -269,21 +269,21 @@
         }
     }
 
-    fn back(self: &Rc<Self>, conn: Option<Conn>) {
-        let keep = self.open.get() <= self.limit.get();
-        match conn.and_then(|mut c| (keep && c.line.open()).then_some(c)) {
+    fn release(self: &Rc<Self>, conn: Option<PooledConnection>) {
+        let keep = self.open.get() <= self.max_open.get();
+        match conn.and_then(|mut c| (keep && c.link.is_open()).then_some(c)) {
             Some(c) => {
-                let next = self.inbox.borrow_mut().pop_front();
+                let next = self.waiters.borrow_mut().pop_front();
                 match next {
                     Some(n) => {
                         let _ = n.send(Slot::new(self, Some(c)));
                     }
-                    None => self.idle.borrow_mut().push(Conn { resting_since: self.env.now(), ..c }),
+                    None => self.idle.borrow_mut().push(PooledConnection { idle_since: self.env.now(), ..c }),
                 }
             }
             _ => {
                 self.open.set(self.open.get() - 1);
-                self.admit();
+                self.admit_waiters();
             }
         }
     }
--- a/spoke/src/pool/slot.rs
+++ b/spoke/src/pool/slot.rs
@@ -9,26 +9,26 @@
 };
 use bytes::Bytes;
 
-use super::{AppliedState, Conn, Link, Pool, StateOwner};
+use super::{AppliedState, ConnectionKind, Pool, PooledConnection, StateOwner};
 
 /// The largest body a server may answer with.
-const MOST: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// How many prepared statements a connection keeps before it forgets them all.
-const NAMES: usize = 64;
+const MAX_PREPARED_NAMES: usize = 64;
 
 /// The right to one connection; gives it back when dropped.
 pub struct Slot {
     pool: Rc<Pool>,
-    conn: Option<Conn>,
-    spoilt: bool,
+    connection: Option<PooledConnection>,
+    tainted: bool,
 }
 
 impl Slot {
-    pub(super) fn new(pool: &Rc<Pool>, conn: Option<Conn>) -> Self {
-        pool.used.set(pool.used.get() + 1);
-        pool.peak.set(pool.peak.get().max(pool.used.get()));
-        Self { pool: pool.clone(), conn, spoilt: false }
+    pub(super) fn new(pool: &Rc<Pool>, conn: Option<PooledConnection>) -> Self {
+        pool.in_use.set(pool.in_use.get() + 1);
+        pool.peak_in_use.set(pool.peak_in_use.get().max(pool.in_use.get()));
+        Self { pool: pool.clone(), connection: conn, tainted: false }
     }
 
     /// The server it leads to.
@@ -37,38 +37,42 @@
     }
 
     pub(super) async fn connect(&mut self, due: Duration) -> Result<(), ErrorKind> {
-        if self.conn.is_some() {
+        if self.connection.is_some() {
             return Ok(());
         }
         let span = due.saturating_sub(self.pool.env.now());
-        if let Some((manner, group)) = &self.pool.speech {
+        if let Some((manner, group)) = &self.pool.protocol {
             let line = manner.open(&self.pool.env, self.pool.addr, group, &self.pool.server);
-            if self.pool.trying.get().is_none() {
-                self.pool.trying.set(Some(self.pool.env.now()));
+            if self.pool.connecting_since.get().is_none() {
+                self.pool.connecting_since.set(Some(self.pool.env.now()));
             }
-            return match self.pool.env.timeout(span.min(self.pool.dial), line).await {
+            return match self.pool.env.timeout(span.min(self.pool.connect_timeout), line).await {
                 Ok(Ok(line)) => {
-                    self.pool.trying.set(None);
+                    self.pool.connecting_since.set(None);
                     self.pool.opened.set(self.pool.opened.get() + 1);
-                    self.conn = Some(Conn {
-                        line: Link::Talk(line, AppliedState::default()),
-                        dress: None,
-                        resting_since: Duration::ZERO,
+                    self.connection = Some(PooledConnection {
+                        link: ConnectionKind::Protocol(line, AppliedState::default()),
+                        state_owner: None,
+                        idle_since: Duration::ZERO,
                     });
                     Ok(())
                 }
                 // One that is there and takes no session lives, and is full.
                 Ok(Err(CallError::OutcomeUnknown)) => {
-                    self.pool.trying.set(None);
+                    self.pool.connecting_since.set(None);
                     Err(ErrorKind::Overloaded)
                 }
                 _ => Err(ErrorKind::NoServer),
             };
         }
-        match Client::connect(&self.pool.env, self.pool.addr, span, MOST).await {
+        match Client::connect(&self.pool.env, self.pool.addr, span, MAX_RESPONSE_BYTES).await {
             Ok(line) => {
                 self.pool.opened.set(self.pool.opened.get() + 1);
-                self.conn = Some(Conn { line: Link::Http(line), dress: None, resting_since: Duration::ZERO });
+                self.connection = Some(PooledConnection {
+                    link: ConnectionKind::Http(line),
+                    state_owner: None,
+                    idle_since: Duration::ZERO,
+                });
                 Ok(())
             }
             Err(_) => Err(ErrorKind::NoServer),
@@ -76,8 +80,8 @@
     }
 
     /// Never to be used again, as its clean state can't be shown.
-    pub fn spoil(&mut self) {
-        self.spoilt = true;
+    pub fn taint(&mut self) {
+        self.tainted = true;
     }
 
     /// Attempts one statement; without an answer the connection is never used again.
@@ -89,45 +93,55 @@
         due: Duration,
     ) -> Result<HttpResponse, CallError> {
         let span = due.saturating_sub(self.pool.env.now());
-        let Some(Conn { line: Link::Http(line), .. }) = &mut self.conn else { return Err(CallError::NotSent) };
+        let Some(PooledConnection { link: ConnectionKind::Http(line), .. }) = &mut self.connection else {
+            return Err(CallError::NotSent);
+        };
         let method = if path.starts_with(backend::POSITION_PATH) { "GET" } else { "POST" };
         // Spoilt until answered: a task dropped half-way leaves a connection in an unknown state.
-        let was = std::mem::replace(&mut self.spoilt, true);
+        let was = std::mem::replace(&mut self.tainted, true);
         let out = line.call(method, path, head, body, span).await?;
-        self.spoilt = was || out.close;
+        self.tainted = was || out.close;
         Ok(out)
     }
 
     /// Says one statement in the users' manner; without a whole answer the connection is never used again.
-    pub async fn say(
+    pub async fn execute(
         &mut self,
         said: &Statement,
         after: Option<Position>,
         due: Duration,
     ) -> Result<ServerReply, CallError> {
         let span = due.saturating_sub(self.pool.env.now());
-        let Some(Conn { line: Link::Talk(line, _), .. }) = &mut self.conn else { return Err(CallError::NotSent) };
-        let was = std::mem::replace(&mut self.spoilt, true);
+        let Some(PooledConnection { link: ConnectionKind::Protocol(line, _), .. }) = &mut self.connection else {
+            return Err(CallError::NotSent);
+        };
+        let was = std::mem::replace(&mut self.tainted, true);
         let out =
             self.pool.env.timeout(span, line.execute(said, after)).await.map_err(|_| CallError::OutcomeUnknown)??;
-        self.spoilt = was;
+        self.tainted = was;
         Ok(out)
     }
 
-    fn worn(&mut self) -> Option<&mut AppliedState> {
-        match &mut self.conn {
-            Some(Conn { line: Link::Talk(_, w), .. }) => Some(w),
+    fn applied_state(&mut self) -> Option<&mut AppliedState> {
+        match &mut self.connection {
+            Some(PooledConnection { link: ConnectionKind::Protocol(_, w), .. }) => Some(w),
             _ => None,
         }
     }
 
     /// A statement of the product's own that has to be done before the caller's can be.
-    async fn ready(&mut self, act: StatementKind, name: &str, text: &str, due: Duration) -> Result<(), CallError> {
+    async fn execute_internal(
+        &mut self,
+        act: StatementKind,
+        name: &str,
+        text: &str,
+        due: Duration,
+    ) -> Result<(), CallError> {
         let said = Statement { name: name.into(), text: text.into(), ..Statement::internal(act) };
-        match self.say(&said, None, due).await?.outcome {
+        match self.execute(&said, None, due).await?.outcome {
             ServerOutcome::Done(_) => Ok(()),
             _ => {
-                self.spoil();
+                self.taint();
                 Err(CallError::NotSent)
             }
         }
@@ -135,81 +149,88 @@
 
     /// Makes the connection wear exactly these session values, and know one prepared statement if there is one; gives
     /// the name that it has here.
-    pub async fn apply_session(
+    pub async fn apply_session_values(
         &mut self,
         values: &BTreeMap<String, String>,
         prepared: Option<(&str, bool)>,
         due: Duration,
     ) -> Result<String, CallError> {
-        let Some(worn) = self.worn() else { return Err(CallError::NotSent) };
-        if worn.values.keys().any(|k| !values.contains_key(k)) || worn.names.len() > NAMES {
+        let Some(worn) = self.applied_state() else { return Err(CallError::NotSent) };
+        if worn.values.keys().any(|k| !values.contains_key(k)) || worn.prepared_names.len() > MAX_PREPARED_NAMES {
             *worn = AppliedState::default();
-            self.ready(StatementKind::ResetSession, "", "", due).await?;
+            self.execute_internal(StatementKind::ResetSession, "", "", due).await?;
         }
         for (k, v) in values {
-            if self.worn().is_some_and(|w| w.values.get(k) != Some(v)) {
-                self.ready(StatementKind::Set, k, v, due).await?;
-                if let Some(w) = self.worn() {
+            if self.applied_state().is_some_and(|w| w.values.get(k) != Some(v)) {
+                self.execute_internal(StatementKind::Set, k, v, due).await?;
+                if let Some(w) = self.applied_state() {
                     w.values.insert(k.clone(), v.clone());
                 }
             }
         }
         let Some((text, writes)) = prepared else { return Ok(String::new()) };
-        let Some(worn) = self.worn() else { return Err(CallError::NotSent) };
-        if let Some(n) = worn.names.get(text) {
+        let Some(worn) = self.applied_state() else { return Err(CallError::NotSent) };
+        if let Some(n) = worn.prepared_names.get(text) {
             return Ok(n.clone());
         }
-        let name = format!("n{}", worn.names.len());
-        self.ready(StatementKind::Prepare { writes }, &name, text, due).await?;
-        if let Some(w) = self.worn() {
-            w.names.insert(text.into(), name.clone());
+        let name = format!("n{}", worn.prepared_names.len());
+        self.execute_internal(StatementKind::Prepare { writes }, &name, text, due).await?;
+        if let Some(w) = self.applied_state() {
+            w.prepared_names.insert(text.into(), name.clone());
         }
         Ok(name)
     }
 
     /// Makes the connection wear exactly this session's state: wiped of any other, replayed where missing.
-    pub async fn dress(&mut self, want: &StateOwner, state: &[(Verb, Bytes)], due: Duration) -> Result<(), CallError> {
-        let has = self.conn.as_ref().and_then(|c| c.dress.clone());
+    pub async fn apply_session_statements(
+        &mut self,
+        want: &StateOwner,
+        state: &[(Verb, Bytes)],
+        due: Duration,
+    ) -> Result<(), CallError> {
+        let has = self.connection.as_ref().and_then(|c| c.state_owner.clone());
         let from = match &has {
             None => 0,
-            Some(h) if h.session == want.session && h.name == want.name && h.count <= want.count => h.count,
+            Some(h) if h.session == want.session && h.database == want.database && h.statements <= want.statements => {
+                h.statements
+            }
             Some(_) => {
                 let out = self.call(backend::RESET_PATH, &[], Bytes::new(), due).await?;
                 if out.status >= 300 {
-                    self.spoil();
+                    self.taint();
                     return Err(CallError::NotSent);
                 }
                 0
             }
         };
-        if let Some(c) = &mut self.conn {
-            c.dress = None;
+        if let Some(c) = &mut self.connection {
+            c.state_owner = None;
         }
         for (verb, body) in &state[from..] {
             let out = self.call(backend::statement_path(*verb), &[], body.clone(), due).await;
             if !matches!(&out, Ok(o) if o.status < 300) {
-                self.spoil();
+                self.taint();
                 return Err(CallError::NotSent);
             }
         }
-        if let Some(c) = &mut self.conn {
-            c.dress = (want.count > 0).then(|| want.clone());
+        if let Some(c) = &mut self.connection {
+            c.state_owner = (want.statements > 0).then(|| want.clone());
         }
         Ok(())
     }
 
     /// Notes that the connection now wears one more statement of the session.
-    pub fn wore(&mut self, dress: StateOwner) {
-        if let Some(c) = &mut self.conn {
-            c.dress = Some(dress);
+    pub fn set_state_owner(&mut self, dress: StateOwner) {
+        if let Some(c) = &mut self.connection {
+            c.state_owner = Some(dress);
         }
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.pool.used.set(self.pool.used.get() - 1);
-        let conn = if self.spoilt { None } else { self.conn.take() };
-        self.pool.back(conn);
+        self.pool.in_use.set(self.pool.in_use.get() - 1);
+        let conn = if self.tainted { None } else { self.connection.take() };
+        self.pool.release(conn);
     }
 }
--- a/spoke/src/talk/mod.rs
+++ b/spoke/src/protocol/mod.rs
@@ -1,10 +1,10 @@
 //! Sessions in the users' manner: what a caller says is answered here, or brought to the server that the decision object
 //! names. Values and prepared names live in the session and are worn by whichever connection serves it.
 
-mod caller_session;
+mod attempt;
+mod client_session;
 mod read;
-mod send;
-mod trans;
+mod transaction;
 mod write;
 
 use std::rc::Rc;
@@ -14,29 +14,33 @@
     protocol::{DatabaseSession, SessionProvider, StatementError},
 };
 
-use crate::work::{WorkContext, bump};
+use crate::execution::{ExecutionContext, increment};
 
 /// Where doors open sessions.
 pub struct SessionOpener {
-    pub works: Rc<WorkContext>,
+    pub context: Rc<ExecutionContext>,
 }
 
 impl SessionProvider for SessionOpener {
     fn open_session(&self, name: &str) -> Result<Rc<dyn DatabaseSession>, StatementError> {
-        match self.works.decider.gate(name) {
+        match self.context.router.route(name) {
             Ok(_) => {}
             Err(ErrorKind::NoDatabase) => return Err(StatementError::not_committed(ErrorKind::NoDatabase)),
             Err(k) => return Err(StatementError::not_committed(k)),
         }
-        bump(&self.works.tally.sessions);
-        Ok(Rc::new(caller_session::CallerSession::new(&self.works, name)))
+        increment(&self.context.counters.sessions);
+        Ok(Rc::new(client_session::ClientSession::new(&self.context, name)))
     }
 
     fn is_ready(&self) -> bool {
-        let view = self.works.journal.view();
+        let view = self.context.journal.view();
         let Some(image) = &view.image else { return false };
-        let now = self.works.env.now();
-        let served = image.groups.iter().filter(|g| view.leads.get(&g.name).is_some_and(|l| now < l.until)).count();
-        self.works.decider.confirmed() && (served * 2 >= image.groups.len() || served > 0)
+        let now = self.context.env.now();
+        let served = image
+            .groups
+            .iter()
+            .filter(|g| view.primary_leases.get(&g.name).is_some_and(|l| now < l.valid_until))
+            .count();
+        self.context.router.is_confirmed() && (served * 2 >= image.groups.len() || served > 0)
     }
 }
--- a/spoke/src/view/mod.rs
+++ b/spoke/src/view/mod.rs
@@ -1,6 +1,6 @@
 //! What a spoke knows: events appended to a journal, and the view folded from them.
 
-mod fold;
+mod apply;
 
 use std::{
     cell::{Ref, RefCell},
@@ -13,14 +13,14 @@
 use wire::{Image, NodeHeartbeatAck, Route, Snapshot, SnapshotVersion};
 
 /// How many events the journal keeps for inspection.
-const MOST: usize = 512;
+const MAX_JOURNAL_LINES: usize = 512;
 
 /// Something the spoke was told.
 pub enum Event {
-    News(Rc<Snapshot>),
-    Returned {
-        ret: NodeHeartbeatAck,
-        sent: Duration,
+    Snapshot(Rc<Snapshot>),
+    HeartbeatAck {
+        ack: NodeHeartbeatAck,
+        sent_at: Duration,
     },
     /// A server said on the spoke's own connection that it is draining, or no longer.
     Draining {
@@ -33,29 +33,29 @@
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     pub addr: String,
-    pub area: String,
+    pub zone: String,
     /// Since when it is known to drain.
-    pub draining: Option<Duration>,
+    pub draining_since: Option<Duration>,
     /// Since when it is known to be gone.
-    pub gone: Option<Duration>,
+    pub gone_since: Option<Duration>,
     pub cold: f64,
 }
 
 /// The leave to act on a leader.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lead {
+pub struct PrimaryLease {
     pub server: String,
-    pub line: u64,
-    pub until: Duration,
+    pub epoch: u64,
+    pub valid_until: Duration,
     /// Since when leave to act on this leader was held without a break.
-    pub since: Duration,
+    pub held_since: Duration,
 }
 
 /// This node's share of a server's connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     pub count: u64,
-    pub until: Duration,
+    pub valid_until: Duration,
     /// More nodes want a connection than there are: one that rests is given back soon.
     pub scarce: bool,
     /// How many nodes share the server's connections.
@@ -68,20 +68,20 @@
     pub image: Option<Rc<Image>>,
     pub servers: BTreeMap<String, Server>,
     /// Since when each emptied area is known to be emptied.
-    pub emptied: BTreeMap<String, Duration>,
-    pub leads: BTreeMap<String, Lead>,
+    pub evacuated_since: BTreeMap<String, Duration>,
+    pub primary_leases: BTreeMap<String, PrimaryLease>,
     pub shares: BTreeMap<String, Share>,
-    pub mark: SnapshotVersion,
+    pub snapshot_version: SnapshotVersion,
     /// The leading hub's word was the newest at this time.
-    pub confirmed: Option<Duration>,
+    pub confirmed_at: Option<Duration>,
     /// How often a leader grant was taken back.
-    pub handed: u64,
-    waits: Vec<(Duration, SnapshotVersion)>,
+    pub lost_leases: u64,
+    unconfirmed_acks: Vec<(Duration, SnapshotVersion)>,
 }
 
 impl View {
     /// The doorway of a name; news keeps them in order.
-    pub fn doorway(&self, name: &str) -> Option<&Route> {
+    pub fn route(&self, name: &str) -> Option<&Route> {
         let doorways = &self.image.as_ref()?.routes;
         let at = doorways.binary_search_by(|d| d.name.as_str().cmp(name)).ok()?;
         doorways.get(at)
@@ -91,30 +91,35 @@
 /// The journal and its view.
 pub struct Journal {
     env: Env,
-    ring: RefCell<VecDeque<(Duration, String)>>,
+    lines: RefCell<VecDeque<(Duration, String)>>,
     view: RefCell<View>,
     /// Rung after each event.
-    pub bell: Notify,
+    pub changed: Notify,
 }
 
 impl Journal {
     /// An empty journal.
     pub fn new(env: &Env) -> Rc<Self> {
-        Rc::new(Self { env: env.clone(), ring: RefCell::default(), view: RefCell::default(), bell: Notify::default() })
+        Rc::new(Self {
+            env: env.clone(),
+            lines: RefCell::default(),
+            view: RefCell::default(),
+            changed: Notify::default(),
+        })
     }
 
     /// Appends an event and folds it into the view.
     pub fn append(&self, event: Event) {
         let now = self.env.now();
-        let line = self.view.borrow_mut().fold(now, event);
+        let line = self.view.borrow_mut().apply(now, event);
         if let Some(l) = line {
-            let mut ring = self.ring.borrow_mut();
-            if ring.len() == MOST {
+            let mut ring = self.lines.borrow_mut();
+            if ring.len() == MAX_JOURNAL_LINES {
                 ring.pop_front();
             }
             ring.push_back((now, l));
         }
-        self.bell.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// The view as it stands.
@@ -124,6 +129,6 @@
 
     /// The newest events, oldest first.
     pub fn lines(&self) -> Vec<(Duration, String)> {
-        self.ring.borrow().iter().cloned().collect()
+        self.lines.borrow().iter().cloned().collect()
     }
 }
