--- a/spoke/src/execution/attempts.rs
+++ b/spoke/src/execution/attempts.rs
@@ -1,3 +1,5 @@
+//! The attempts that this node remembers, so that a write is not executed twice under the same attempt id.
+
 use std::{
     cell::RefCell,
     collections::{BTreeMap, VecDeque},
@@ -15,7 +17,7 @@
 
 /// How many attempts are remembered.
 const MAX_KEPT_ATTEMPTS: usize = 4096;
-/// The largest answer that is kept to be given again.
+/// The largest response body that is kept to be returned again.
 const MAX_KEPT_BODY_BYTES: usize = 4096;
 
 enum AttemptState {
@@ -23,20 +25,22 @@
     Done(HttpResponse),
 }
 
-/// The attempts that callers named and that took effect here, or may have; the newest few thousand.
+/// The newest attempts with an id from the client that took effect on this node, or may have.
 #[derive(Default)]
 pub struct Attempts {
+    /// The hash of the statement and the state of its attempt.
     by_id: RefCell<BTreeMap<String, (u64, AttemptState)>>,
     order: RefCell<VecDeque<String>>,
 }
 
 impl Attempts {
-    /// Claims an attempt, whose statement is told by a sum; an answer if it is not to be carried out (again).
-    pub fn claim(&self, send: &str, sum: u64) -> Option<HttpResponse> {
-        let mut map = self.by_id.borrow_mut();
-        match map.get(send) {
+    /// Claims an attempt id for the statement with this hash. Returns the response to give instead if the statement must not
+    /// be executed (again).
+    pub fn claim(&self, attempt_id: &str, hash: u64) -> Option<HttpResponse> {
+        let mut by_id = self.by_id.borrow_mut();
+        match by_id.get(attempt_id) {
             None => {}
-            Some((s, _)) if *s != sum => {
+            Some((known_hash, _)) if *known_hash != hash => {
                 return Some(edge::error_response(
                     ErrorKind::OutOfOrder,
                     "this id was used for another statement",
@@ -50,70 +54,72 @@
                     Some(WriteOutcome::Unknown),
                 ));
             }
-            Some((_, AttemptState::Done(out))) => return Some(out.clone()),
+            Some((_, AttemptState::Done(response))) => return Some(response.clone()),
         }
-        map.insert(send.into(), (sum, AttemptState::InProgress));
+        by_id.insert(attempt_id.into(), (hash, AttemptState::InProgress));
         let mut order = self.order.borrow_mut();
-        order.push_back(send.into());
+        order.push_back(attempt_id.into());
         if order.len() > MAX_KEPT_ATTEMPTS {
-            // One under way is never forgotten: it could then be made a second time.
-            let ended = order.iter().position(|s| !matches!(map.get(s), Some((_, AttemptState::InProgress))));
-            if let Some(old) = ended.and_then(|at| order.remove(at)) {
-                map.remove(&old);
+            // An attempt in progress is never removed: its statement could then be executed a second time.
+            let finished = order.iter().position(|id| !matches!(by_id.get(id), Some((_, AttemptState::InProgress))));
+            if let Some(oldest) = finished.and_then(|index| order.remove(index)) {
+                by_id.remove(&oldest);
             }
         }
         None
     }
 
-    /// Notes how an attempt ended; one of which nothing is kept may be made again.
-    pub fn finish(&self, send: &str, out: &HttpResponse) {
-        let mut map = self.by_id.borrow_mut();
-        let Some((_, state)) = map.get_mut(send) else { return };
-        let kept = out.header(client::WRITE_OUTCOME_HEADER);
-        if kept == Some("no") {
-            map.remove(send);
-            self.order.borrow_mut().retain(|s| s != send);
+    /// Records the response of an attempt. An attempt that was not committed is removed and may be made again.
+    pub fn finish(&self, attempt_id: &str, response: &HttpResponse) {
+        let mut by_id = self.by_id.borrow_mut();
+        let Some((_, state)) = by_id.get_mut(attempt_id) else { return };
+        let outcome = response.header(client::WRITE_OUTCOME_HEADER);
+        if outcome == Some("no") {
+            by_id.remove(attempt_id);
+            self.order.borrow_mut().retain(|id| id != attempt_id);
             return;
         }
-        let long = out.body.len() > MAX_KEPT_BODY_BYTES;
-        *state = AttemptState::Done(match long {
+        let too_long = response.body.len() > MAX_KEPT_BODY_BYTES;
+        *state = AttemptState::Done(match too_long {
             true => edge::error_response(
                 ErrorKind::OutOfOrder,
                 "this attempt was kept; its answer is gone",
                 Some(WriteOutcome::Committed),
             ),
-            false => out.clone(),
+            false => response.clone(),
         });
     }
 }
 
-fn statement_hash(name: &str, body: &Bytes) -> u64 {
+fn statement_hash(database: &str, body: &Bytes) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    let mut h = DefaultHasher::new();
-    (name, &body[..]).hash(&mut h);
-    h.finish()
+    let mut hasher = DefaultHasher::new();
+    (database, &body[..]).hash(&mut hasher);
+    hasher.finish()
 }
 
 impl ExecutionContext {
-    /// A single write of an attempt that its caller named: seen a second time at this node, it is answered as the first
-    /// time and not carried out again.
+    /// Executes a single write whose attempt id the client chose. A repeated attempt at this node gets the first attempt's
+    /// response and is not executed again.
     pub(super) async fn write_with_attempt_id(
         &self,
         store: &RefCell<SessionStore>,
-        task: &PendingStatement<'_>,
+        statement: &PendingStatement<'_>,
     ) -> HttpResponse {
         if self.router.disabled.no_sends {
-            return self.write(store, task).await;
+            return self.write(store, statement).await;
         }
-        let send = task.request.attempt_id;
-        if let Some(out) = self.attempts.claim(send, statement_hash(task.request.database, task.body)) {
-            if let Some(t) = out.header(client::TOKEN_HEADER).and_then(|t| t.parse().ok()) {
-                store.borrow_mut().token.merge(t);
+        let attempt_id = statement.request.attempt_id;
+        if let Some(response) =
+            self.attempts.claim(attempt_id, statement_hash(statement.request.database, statement.body))
+        {
+            if let Some(token) = response.header(client::TOKEN_HEADER).and_then(|t| t.parse().ok()) {
+                store.borrow_mut().token.merge(token);
             }
-            return out;
+            return response;
         }
-        let out = self.write(store, task).await;
-        self.attempts.finish(send, &out);
-        out
+        let response = self.write(store, statement).await;
+        self.attempts.finish(attempt_id, &response);
+        response
     }
 }
--- a/spoke/src/execution/mod.rs
+++ b/spoke/src/execution/mod.rs
@@ -1,4 +1,4 @@
-//! The executor: carries out what the decision object orders, and tells what became of it.
+//! The executor for the HTTP interface: carries out routing decisions and reports the outcome to the client.
 
 mod attempts;
 mod read;
@@ -31,10 +31,11 @@
 pub use attempts::Attempts;
 pub use session::HttpSession;
 
-/// How often a statement that surely was not taken is sent again.
+/// Limit on the attempts of a statement that was certainly not executed: this many attempts of a write or a `BEGIN`, and
+/// this many further attempts of a read.
 const ATTEMPT_LIMIT: usize = 3;
 
-/// Counts of how work ended.
+/// Counters of requests and their outcomes since the start.
 #[derive(Default)]
 pub struct RequestCounters {
     pub reads: Cell<u64>,
@@ -46,11 +47,11 @@
 }
 
 /// Adds one to a counter.
-pub fn increment(c: &Cell<u64>) {
-    c.set(c.get() + 1);
+pub fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
 }
 
-/// What every task that carries out work shares.
+/// What all sessions of the node share to execute statements.
 pub struct ExecutionContext {
     pub env: Env,
     pub router: Router,
@@ -62,7 +63,7 @@
     pub attempts: Attempts,
 }
 
-/// One statement outside a transaction, on its way.
+/// One statement outside a transaction while it is being executed.
 pub struct PendingStatement<'a> {
     pub route: &'a MatchedRoute,
     pub list_key: &'a ListKey,
@@ -71,46 +72,47 @@
     pub deadline: Duration,
 }
 
-/// Why a call was given up or brought nothing.
+/// Why an attempt ended without a response.
 pub enum SendFailure {
+    /// The call to the server failed.
     Call(CallError),
-    /// The server was lost sight of, or the grant ended, before an answer came.
+    /// The target became unusable, or its condition invalid, before the response arrived.
     Abandoned,
 }
 
 impl ExecutionContext {
-    /// Attempts one statement; gives up waiting as soon as no answer could be used any more.
+    /// Makes one attempt of a statement; stops waiting as soon as no response could be used any more.
     async fn send(
         &self,
         slot: &mut Slot,
         target: &Target,
         verb: Verb,
-        head: &[(&str, String)],
+        headers: &[(&str, String)],
         body: Bytes,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<HttpResponse, SendFailure> {
-        let call = slot.call(backend::statement_path(verb), head, body, due);
+        let call = slot.call(backend::statement_path(verb), headers, body, deadline);
         match select(pin!(call), pin!(self.wait_until_unusable(target))).await {
-            Either::Left((out, _)) => out.map_err(SendFailure::Call),
+            Either::Left((result, _)) => result.map_err(SendFailure::Call),
             Either::Right(_) => Err(SendFailure::Abandoned),
         }
     }
 
-    /// Makes a connection wear a session's state, and nobody else's.
+    /// Applies a session's state to a connection, and removes the state of any other session.
     async fn apply_session_state(
         &self,
         slot: &mut Slot,
-        want: &StateOwner,
-        state: &[(Verb, Bytes)],
-        due: Duration,
+        owner: &StateOwner,
+        statements: &[(Verb, Bytes)],
+        deadline: Duration,
     ) -> Result<(), CallError> {
         if self.router.disabled.no_wipe {
             return Ok(());
         }
-        slot.apply_session_statements(want, state, due).await
+        slot.apply_session_statements(owner, statements, deadline).await
     }
 
-    /// Ends when an answer from the target could no longer be used. Most answers come before it first looks.
+    /// Completes when a response from the target can no longer be used. Most responses arrive before the first check.
     async fn wait_until_unusable(&self, target: &Target) {
         self.env.sleep(self.router.bounds.sampling_interval()).await;
         while self.router.is_valid(target) && self.router.is_usable(target) {
@@ -118,35 +120,42 @@
         }
     }
 
-    /// Notes what a server's answer shows of the server.
-    fn record_response(&self, key: &ListKey, slot: &Slot, out: &HttpResponse, asked: Duration) -> ResponseMetadata {
-        let signs = backend::response_metadata(out);
-        let end = if signs.throttled {
+    /// Records the outcome, the position and the draining state that a server's response shows.
+    fn record_response(
+        &self,
+        key: &ListKey,
+        slot: &Slot,
+        response: &HttpResponse,
+        requested_at: Duration,
+    ) -> ResponseMetadata {
+        let metadata = backend::response_metadata(response);
+        let outcome = if metadata.throttled {
             Outcome::Throttled
-        } else if signs.failed {
+        } else if metadata.failed {
             Outcome::Error
         } else {
             Outcome::Good
         };
-        self.health.record(key, slot.server(), end, self.env.now() - asked);
-        if let Some(p) = signs.position {
-            self.health.record_position(slot.server(), asked, p, signs.log_id);
+        self.health.record(key, slot.server(), outcome, self.env.now() - requested_at);
+        if let Some(position) = metadata.position {
+            self.health.record_position(slot.server(), requested_at, position, metadata.log_id);
         }
-        if out.header(backend::DRAINING_HEADER).is_some() {
-            self.journal.append(Event::Draining { server: slot.server().into(), draining: signs.draining });
+        if response.header(backend::DRAINING_HEADER).is_some() {
+            self.journal.append(Event::Draining { server: slot.server().into(), draining: metadata.draining });
         }
-        signs
+        metadata
     }
 
-    /// The server's own answer, with what the caller needs beside it.
-    fn client_response(&self, out: HttpResponse, server: &str, token: client::Token) -> HttpResponse {
-        let mut ret = HttpResponse::new(out.status, out.body.clone()).with_header(client::SERVER_HEADER, server);
-        if let Some(t) = out.header("content-type") {
-            ret = ret.with_header("content-type", t);
+    /// The server's response as the client receives it, with the server's name and the session's token.
+    fn client_response(&self, response: HttpResponse, server: &str, token: client::Token) -> HttpResponse {
+        let mut result =
+            HttpResponse::new(response.status, response.body.clone()).with_header(client::SERVER_HEADER, server);
+        if let Some(content_type) = response.header("content-type") {
+            result = result.with_header("content-type", content_type);
         }
         if token != client::Token::default() {
-            ret = ret.with_header(client::TOKEN_HEADER, token);
+            result = result.with_header(client::TOKEN_HEADER, token);
         }
-        ret
+        result
     }
 }
--- a/spoke/src/execution/read.rs
+++ b/spoke/src/execution/read.rs
@@ -1,3 +1,5 @@
+//! Single reads over HTTP.
+
 use std::cell::RefCell;
 
 use base::{
@@ -13,87 +15,88 @@
 use crate::{pool::StateOwner, routing::RouteDecision};
 
 impl ExecutionContext {
-    /// A single read.
-    pub async fn read(&self, store: &RefCell<SessionStore>, task: &PendingStatement<'_>) -> HttpResponse {
+    /// Executes a single read.
+    pub async fn read(&self, store: &RefCell<SessionStore>, statement: &PendingStatement<'_>) -> HttpResponse {
         increment(&self.counters.reads);
-        self.execute_repeatable(store, task).await
+        self.execute_repeatable(store, statement).await
     }
 
-    /// A statement that changes nothing kept, and so may be sent again elsewhere.
+    /// Executes a statement that changes no stored data and may therefore be retried on another server.
     pub(super) async fn execute_repeatable(
         &self,
         store: &RefCell<SessionStore>,
-        task: &PendingStatement<'_>,
+        statement: &PendingStatement<'_>,
     ) -> HttpResponse {
-        let PendingStatement { route: gate, list_key: key, request: word, body, deadline: due } = *task;
+        let PendingStatement { route, list_key, request, body, deadline } = *statement;
         let token = store.borrow().token;
-        let (dress, state) = self.session_state(store, &gate.name);
+        let (owner, state) = self.session_state(store, &route.name);
         let mut tried: Vec<String> = Vec::new();
-        let mut last = ErrorKind::NoServer;
-        while tried.len() <= super::ATTEMPT_LIMIT && self.env.now() < due {
+        let mut last_error = ErrorKind::NoServer;
+        while tried.len() <= super::ATTEMPT_LIMIT && self.env.now() < deadline {
             if !tried.is_empty() {
                 increment(&self.counters.retried);
             }
-            let target = match self.router.route_read(gate, key, token, &tried) {
-                RouteDecision::Send(t) => t,
-                RouteDecision::Reject(k) => {
-                    return edge::error_response(if tried.is_empty() { k } else { last }, "", None);
+            let target = match self.router.route_read(route, list_key, token, &tried) {
+                RouteDecision::Send(target) => target,
+                RouteDecision::Reject(kind) => {
+                    return edge::error_response(if tried.is_empty() { kind } else { last_error }, "", None);
                 }
             };
             let Some(pool) = self.pools.get(&target.server) else {
                 tried.push(target.server);
                 continue;
             };
-            let mut slot = match pool.acquire(due).await {
-                Ok(s) => s,
-                Err(k @ (ErrorKind::Overloaded | ErrorKind::DeadlineExceeded)) => {
-                    return edge::error_response(k, "", None);
+            let mut slot = match pool.acquire(deadline).await {
+                Ok(slot) => slot,
+                Err(kind @ (ErrorKind::Overloaded | ErrorKind::DeadlineExceeded)) => {
+                    return edge::error_response(kind, "", None);
                 }
-                Err(k) => {
-                    last = k;
+                Err(kind) => {
+                    last_error = kind;
                     tried.push(target.server);
                     continue;
                 }
             };
-            let dressed = self.apply_session_state(&mut slot, &dress, &state, due).await.is_ok();
-            // Time was spent in the inbox: what the send rests on is looked at anew.
-            if !dressed
+            let applied = self.apply_session_state(&mut slot, &owner, &state, deadline).await.is_ok();
+            // Time passed while waiting for the connection, so the target's condition is checked again.
+            if !applied
                 || !self.router.is_valid(&target)
                 || !self.router.is_usable(&target)
                 || self.router.check_continuation().is_err()
             {
-                last = ErrorKind::NoServer;
+                last_error = ErrorKind::NoServer;
                 tried.push(target.server);
                 continue;
             }
-            let asked = self.env.now();
-            let head = [(client::ATTEMPT_ID_HEADER, word.attempt_id.to_string())];
-            let Ok(out) = self.send(&mut slot, &target, word.verb, &head, body.clone(), due).await else {
-                self.health.record(key, &target.server, pick::Outcome::Error, self.env.now() - asked);
-                last = ErrorKind::ServerFailed;
+            let requested_at = self.env.now();
+            let headers = [(client::ATTEMPT_ID_HEADER, request.attempt_id.to_string())];
+            let Ok(response) = self.send(&mut slot, &target, request.verb, &headers, body.clone(), deadline).await
+            else {
+                self.health.record(list_key, &target.server, pick::Outcome::Error, self.env.now() - requested_at);
+                last_error = ErrorKind::ServerFailed;
                 tried.push(target.server);
                 continue;
             };
-            let signs = self.record_response(key, &slot, &out, asked);
-            if signs.not_executed
-                || signs.throttled
-                || signs.failed
+            let metadata = self.record_response(list_key, &slot, &response, requested_at);
+            if metadata.not_executed
+                || metadata.throttled
+                || metadata.failed
                 || !self.router.is_valid(&target)
-                || !self.router.is_satisfied_by(&target, &signs)
+                || !self.router.is_satisfied_by(&target, &metadata)
             {
-                last = ErrorKind::ServerFailed;
+                last_error = ErrorKind::ServerFailed;
                 tried.push(target.server);
                 continue;
             }
-            if matches!(word.verb, Verb::Set | Verb::Prepare) && out.status < 300 {
-                let count = dress.statements + 1;
-                let id = store.borrow().id;
-                slot.set_state_owner(StateOwner { session: id, database: gate.name.clone(), statements: count });
+            if matches!(request.verb, Verb::Set | Verb::Prepare) && response.status < 300 {
+                let statements = owner.statements + 1;
+                let session = store.borrow().id;
+                slot.set_state_owner(StateOwner { session, database: route.name.clone(), statements });
             }
             drop(slot);
-            return self.client_response(out, &target.server, token);
+            return self.client_response(response, &target.server, token);
         }
-        let kind = if self.env.now() >= due { ErrorKind::DeadlineExceeded } else { last };
+        let kind = if self.env.now() >= deadline { ErrorKind::DeadlineExceeded } else { last_error };
         edge::error_response(kind, "", None)
     }
 }
--- a/spoke/src/execution/session.rs
+++ b/spoke/src/execution/session.rs
@@ -1,3 +1,5 @@
+//! A client's session over HTTP: its token, session statements and open transaction.
+
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 use base::{
@@ -20,9 +22,9 @@
     routing::{MatchedRoute, Target},
 };
 
-/// How many session statements one session may have for one database.
+/// How many session statements (values and prepared names) one session may have for one database.
 pub const MAX_SESSION_STATEMENTS: usize = 64;
-/// How many bytes they may have together, over all databases.
+/// How many bytes the session statements of one session may have together, over all databases.
 const MAX_SESSION_STATE_BYTES: usize = 1 << 20;
 
 /// An open transaction.
@@ -30,65 +32,66 @@
     pub slot: Slot,
     pub target: Target,
     pub database: String,
-    /// Ends the transaction when it sits idle too long.
+    /// Ends the transaction when it has been idle for too long.
     pub idle_timer: Option<TaskGuard>,
 }
 
-/// What a transaction that was ended for the caller leaves behind.
+/// The error of a transaction that the node ended and whose client was not informed yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndedTransaction(pub ErrorKind);
 
-/// What a session owns.
+/// The state of one session.
 #[derive(Default)]
 pub struct SessionStore {
     pub id: u64,
     pub token: Token,
+    /// Session statements by database, in the order of their execution.
     pub statements: BTreeMap<String, Vec<(Verb, Bytes)>>,
     pub transaction: Option<Transaction>,
     pub ended: Option<EndedTransaction>,
     pub client_disconnected: bool,
-    /// A request is being worked on.
+    /// Whether a request is being executed.
     pub busy: bool,
 }
 
 impl SessionStore {
-    /// Whether the session may set another value or name for a database.
-    pub fn has_room(&self, name: &str, more: usize) -> bool {
+    /// Whether the session may add another session statement of this length in bytes for a database.
+    pub fn has_room(&self, database: &str, added_bytes: usize) -> bool {
         let bytes: usize = self.statements.values().flatten().map(|s| s.1.len()).sum();
-        self.statements.get(name).map_or(0, Vec::len) < MAX_SESSION_STATEMENTS
-            && bytes + more <= MAX_SESSION_STATE_BYTES
+        self.statements.get(database).map_or(0, Vec::len) < MAX_SESSION_STATEMENTS
+            && bytes + added_bytes <= MAX_SESSION_STATE_BYTES
     }
 }
 
-/// One caller's connection: its session.
+/// One client's connection, which is its session.
 pub struct HttpSession {
     context: Rc<ExecutionContext>,
     store: Rc<RefCell<SessionStore>>,
 }
 
 impl HttpSession {
-    /// A session with no state.
-    pub fn new(works: &Rc<ExecutionContext>) -> Self {
-        works.last_session_id.set(works.last_session_id.get() + 1);
-        increment(&works.counters.sessions);
-        let store = SessionStore { id: works.last_session_id.get(), ..SessionStore::default() };
-        Self { context: works.clone(), store: Rc::new(RefCell::new(store)) }
+    /// A session without state.
+    pub fn new(context: &Rc<ExecutionContext>) -> Self {
+        context.last_session_id.set(context.last_session_id.get() + 1);
+        increment(&context.counters.sessions);
+        let store = SessionStore { id: context.last_session_id.get(), ..SessionStore::default() };
+        Self { context: context.clone(), store: Rc::new(RefCell::new(store)) }
     }
 }
 
 impl RequestHandler for HttpSession {
-    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
-        let (works, store) = (self.context.clone(), self.store.clone());
+    fn handle(&self, request: HttpRequest) -> LocalFuture<HttpResponse> {
+        let (context, store) = (self.context.clone(), self.store.clone());
         Box::pin(async move {
             let (done, wait) = oneshot::channel();
-            // In a task of its own: a caller who leaves must not leave a server half-way through a statement.
-            let env = works.env.clone();
+            // Runs in its own task, so that a client's disconnect does not leave a server in the middle of a statement.
+            let env = context.env.clone();
             store.borrow_mut().busy = true;
             env.spawn(async move {
-                let out = works.handle_request(&store, &ask).await;
+                let response = context.handle_request(&store, &request).await;
                 store.borrow_mut().busy = false;
-                let _ = done.send(out);
-                works.roll_back_if_disconnected(&store);
+                let _ = done.send(response);
+                context.roll_back_if_disconnected(&store);
             })
             .detach();
             wait.await
@@ -97,8 +100,8 @@
     }
 
     fn can_close(&self) -> bool {
-        let s = self.store.borrow();
-        s.transaction.is_none() && !s.busy
+        let store = self.store.borrow();
+        store.transaction.is_none() && !store.busy
     }
 }
 
@@ -110,51 +113,57 @@
 }
 
 impl ExecutionContext {
-    /// Rolls back what a caller who left had open.
+    /// Rolls back the open transaction of a client that has disconnected.
     fn roll_back_if_disconnected(self: &Rc<Self>, store: &Rc<RefCell<SessionStore>>) {
         if !store.borrow().client_disconnected {
             return;
         }
-        if let Some(t) = store.borrow_mut().transaction.take() {
+        if let Some(transaction) = store.borrow_mut().transaction.take() {
             if self.router.disabled.no_rollback {
                 return;
             }
-            let me = self.clone();
-            self.env.spawn(async move { me.roll_back(t).await }).detach();
+            let context = self.clone();
+            self.env.spawn(async move { context.roll_back(transaction).await }).detach();
         }
     }
 
-    /// Rolls back at the server; a connection that doesn't show it did is closed.
-    pub async fn roll_back(&self, mut t: Transaction) {
-        let due = self.env.now() + self.router.bounds.call_timeout();
-        let out = t.slot.call(backend::statement_path(Verb::Rollback), &[], Bytes::new(), due).await;
-        if !matches!(&out, Ok(o) if o.status < 300) {
-            t.slot.taint();
+    /// Rolls a transaction back at its server. The connection is closed unless the server confirms the rollback.
+    pub async fn roll_back(&self, mut transaction: Transaction) {
+        let deadline = self.env.now() + self.router.bounds.call_timeout();
+        let result = transaction.slot.call(backend::statement_path(Verb::Rollback), &[], Bytes::new(), deadline).await;
+        if !matches!(&result, Ok(response) if response.status < 300) {
+            transaction.slot.taint();
         }
     }
 
-    /// Answers one request of a session.
-    async fn handle_request(self: &Rc<Self>, store: &Rc<RefCell<SessionStore>>, ask: &HttpRequest) -> HttpResponse {
-        let own = format!("{}-{}-{}", self.router.name, store.borrow().id, self.env.rand());
-        let named = ask.header(client::ATTEMPT_ID_HEADER).is_some_and(|s| !s.is_empty());
-        let word = match client::parse_request(ask) {
-            // Each send has an id; one that its caller did not name gets one here.
-            Ok(w) if w.attempt_id.is_empty() => client::ClientRequest { attempt_id: &own, ..w },
-            Ok(w) => w,
-            Err(k) => return edge::error_response(k, "", Some(WriteOutcome::NotCommitted)),
+    /// Executes one request of a session and returns the response.
+    async fn handle_request(
+        self: &Rc<Self>,
+        store: &Rc<RefCell<SessionStore>>,
+        http_request: &HttpRequest,
+    ) -> HttpResponse {
+        let generated_id = format!("{}-{}-{}", self.router.name, store.borrow().id, self.env.rand());
+        let has_attempt_id = http_request.header(client::ATTEMPT_ID_HEADER).is_some_and(|s| !s.is_empty());
+        let request = match client::parse_request(http_request) {
+            // Each attempt has an id; a request without one gets one here.
+            Ok(request) if request.attempt_id.is_empty() => {
+                client::ClientRequest { attempt_id: &generated_id, ..request }
+            }
+            Ok(request) => request,
+            Err(kind) => return edge::error_response(kind, "", Some(WriteOutcome::NotCommitted)),
         };
-        if let Some(t) = word.token {
-            store.borrow_mut().token.merge(t);
+        if let Some(token) = request.token {
+            store.borrow_mut().token.merge(token);
         }
-        let (most, _) = self.router.default_timeouts();
-        let due = self.env.now() + word.timeout.unwrap_or(most).min(most);
-        let open = store.borrow().transaction.is_some();
-        if open {
-            return self.execute_in_transaction(store, &word, &ask.body, due).await;
+        let (max_timeout, _) = self.router.default_timeouts();
+        let deadline = self.env.now() + request.timeout.unwrap_or(max_timeout).min(max_timeout);
+        let in_transaction = store.borrow().transaction.is_some();
+        if in_transaction {
+            return self.execute_in_transaction(store, &request, &http_request.body, deadline).await;
         }
         let ended = store.borrow_mut().ended.take();
         if let Some(EndedTransaction(kind)) = ended
-            && !matches!(word.verb, Verb::Begin | Verb::Rollback)
+            && !matches!(request.verb, Verb::Begin | Verb::Rollback)
         {
             return edge::error_response(
                 kind,
@@ -162,79 +171,85 @@
                 Some(WriteOutcome::NotCommitted),
             );
         }
-        if let Err(k) = self.router.check_admission() {
+        if let Err(kind) = self.router.check_admission() {
             increment(&self.counters.refused);
-            let mut out = edge::error_response(k, "", Some(WriteOutcome::NotCommitted));
-            out.close = k == ErrorKind::ZoneEvacuated;
-            return out;
+            let mut response = edge::error_response(kind, "", Some(WriteOutcome::NotCommitted));
+            response.close = kind == ErrorKind::ZoneEvacuated;
+            return response;
         }
-        let gate = match self.router.route(word.database) {
-            Ok(g) => g,
-            Err(k) => return edge::error_response(k, "", Some(WriteOutcome::NotCommitted)),
+        let route = match self.router.route(request.database) {
+            Ok(route) => route,
+            Err(kind) => return edge::error_response(kind, "", Some(WriteOutcome::NotCommitted)),
+        };
+        let list_key = self.health.list_key(request.database, request.label);
+        let statement = PendingStatement {
+            route: &route,
+            list_key: &list_key,
+            request: &request,
+            body: &http_request.body,
+            deadline,
         };
-        let key = self.health.list_key(word.database, word.label);
-        let task = PendingStatement { route: &gate, list_key: &key, request: &word, body: &ask.body, deadline: due };
-        let out = match word.verb {
-            Verb::Read => self.read(store, &task).await,
-            Verb::Write if named => self.write_with_attempt_id(store, &task).await,
-            Verb::Write => self.write(store, &task).await,
-            Verb::Begin => self.begin(store, &task).await,
-            Verb::Set | Verb::Prepare => self.execute_session_statement(store, &task).await,
+        let response = match request.verb {
+            Verb::Read => self.read(store, &statement).await,
+            Verb::Write if has_attempt_id => self.write_with_attempt_id(store, &statement).await,
+            Verb::Write => self.write(store, &statement).await,
+            Verb::Begin => self.begin(store, &statement).await,
+            Verb::Set | Verb::Prepare => self.execute_session_statement(store, &statement).await,
             Verb::Rollback if ended.is_some() => HttpResponse::new(200, "{}"),
             Verb::Rollback => {
                 edge::error_response(ErrorKind::OutOfOrder, "no transaction is open", Some(WriteOutcome::NotCommitted))
             }
-            // Made again, perhaps: what became of it the first time can't be told here.
+            // This may be a repeated COMMIT; the outcome of the first one cannot be determined here.
             Verb::Commit => {
                 edge::error_response(ErrorKind::OutOfOrder, "no transaction is open here", Some(WriteOutcome::Unknown))
             }
         };
-        if out.status == 503 {
+        if response.status == 503 {
             increment(&self.counters.refused);
         }
-        if out.status == 504 {
+        if response.status == 504 {
             increment(&self.counters.unknown);
         }
-        out
+        response
     }
 
-    /// The session's state for a database, and the mark a connection wears for it.
-    pub fn session_state(&self, store: &RefCell<SessionStore>, name: &str) -> (StateOwner, Vec<(Verb, Bytes)>) {
-        let s = store.borrow();
-        let list = s.statements.get(name).cloned().unwrap_or_default();
-        let dress = if list.is_empty() {
+    /// The session's statements for a database, and the owner that a connection records once they are applied to it.
+    pub fn session_state(&self, store: &RefCell<SessionStore>, database: &str) -> (StateOwner, Vec<(Verb, Bytes)>) {
+        let store = store.borrow();
+        let statements = store.statements.get(database).cloned().unwrap_or_default();
+        let owner = if statements.is_empty() {
             StateOwner::default()
         } else {
-            StateOwner { session: s.id, database: name.into(), statements: list.len() }
+            StateOwner { session: store.id, database: database.into(), statements: statements.len() }
         };
-        (dress, list)
+        (owner, statements)
     }
 
-    /// Adds a statement to the session's state once a server has taken it.
+    /// Executes a session statement on any server, and adds it to the session's state if the server accepted it.
     async fn execute_session_statement(
         &self,
         store: &RefCell<SessionStore>,
-        task: &PendingStatement<'_>,
+        statement: &PendingStatement<'_>,
     ) -> HttpResponse {
-        let gate = task.route;
-        if !store.borrow().has_room(&gate.name, task.body.len()) {
+        let route = statement.route;
+        if !store.borrow().has_room(&route.name, statement.body.len()) {
             return edge::error_response(
                 ErrorKind::Overloaded,
                 "the session has too many values and prepared names",
                 Some(WriteOutcome::NotCommitted),
             );
         }
-        let any = MatchedRoute { consistency: Consistency::Any, ..gate.clone() };
-        let out = self.execute_repeatable(store, &PendingStatement { route: &any, ..*task }).await;
-        if out.status < 300 {
-            self.record_session_statement(store, &gate.name, task.request.verb, task.body);
+        let any_server = MatchedRoute { consistency: Consistency::Any, ..route.clone() };
+        let response = self.execute_repeatable(store, &PendingStatement { route: &any_server, ..*statement }).await;
+        if response.status < 300 {
+            self.record_session_statement(store, &route.name, statement.request.verb, statement.body);
         }
-        out
+        response
     }
 
-    /// Notes a session statement that a server took.
-    pub fn record_session_statement(&self, store: &RefCell<SessionStore>, name: &str, verb: Verb, body: &Bytes) {
-        let mut s = store.borrow_mut();
-        s.statements.entry(name.into()).or_default().push((verb, body.clone()));
+    /// Adds a session statement that a server accepted to the session's state.
+    pub fn record_session_statement(&self, store: &RefCell<SessionStore>, database: &str, verb: Verb, body: &Bytes) {
+        let mut store = store.borrow_mut();
+        store.statements.entry(database.into()).or_default().push((verb, body.clone()));
     }
 }
--- a/spoke/src/protocol/read.rs
+++ b/spoke/src/protocol/read.rs
@@ -163,7 +163,7 @@
 /// The position that the server must find in its log.
 pub fn required_position(target: &Target) -> Option<Position> {
     match target.condition {
-        Condition::AtLeast { place } if place != Position::default() => Some(place),
+        Condition::AtLeast { position } if position != Position::default() => Some(position),
         _ => None,
     }
 }
--- a/spoke/src/routing/mod.rs
+++ b/spoke/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! The decision object: asked where a statement may go and whether that still holds. It sends nothing itself.
+//! Routing decisions: selects the server for a statement and checks whether that selection is still valid. Sends nothing
+//! itself.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,18 +16,18 @@
 };
 use pick::choose;
 
-/// On what a send rests; looked at again before the send and before the answer.
+/// The condition under which a target may be used. It is checked again before the attempt and before the response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
-    /// The leader grant of this line.
-    PrimaryLease { line: u64 },
-    /// A head reading asked for at this time.
-    PrimaryPosition { asked: Duration, head: Position },
-    /// A position the server was seen to hold, or none where nothing is promised.
-    AtLeast { place: Position },
+    /// The node holds the primary lease of this epoch.
+    PrimaryLease { epoch: u64 },
+    /// The server has reached the primary's position `head`, which was requested at `requested_at`.
+    PrimaryPosition { requested_at: Duration, head: Position },
+    /// The server has reached this position; the default position where no consistency is promised.
+    AtLeast { position: Position },
 }
 
-/// Where to send.
+/// A server selected for a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     pub server: String,
@@ -34,27 +35,32 @@
     pub condition: Condition,
 }
 
-/// What the executor is to do.
+/// The outcome of routing a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteDecision {
+    /// Send the statement to this target.
     Send(Target),
+    /// Return this error to the client.
     Reject(ErrorKind),
 }
 
-/// A doorway as a statement finds it.
+/// A route with its settings, as in force when a statement was matched to it.
 #[derive(Clone, Debug)]
 pub struct MatchedRoute {
     pub name: String,
     pub group: String,
     pub consistency: Consistency,
+    /// Whether reads go to the primary when no replica can serve them.
     pub fallback_to_primary: bool,
-    /// How long a statement may take, how soon an answer is wanted, how old a commit a read may miss; where told.
+    /// The longest duration of a statement, where configured.
     pub statement_timeout: Option<Duration>,
+    /// The latency that the route aims for, where configured.
     pub target_latency: Option<Duration>,
+    /// The age up to which a commit may be missing from a read, where configured.
     pub max_staleness: Option<Duration>,
 }
 
-/// Asked by the executor.
+/// Makes the routing decisions for the executor.
 pub struct Router {
     pub env: Env,
     pub name: String,
@@ -63,365 +69,405 @@
     pub health: Rc<HealthMeasurements>,
     pub pools: Rc<Pools>,
     pub bounds: Bounds,
-    /// Serve callers on while the own area is emptied of servers.
+    /// Whether to keep serving clients while this node's zone is evacuated.
     pub serve_in_evacuated_zone: bool,
     pub disabled: DisabledGuards,
 }
 
 impl Router {
-    /// Whether this node may take new work at all.
+    /// Checks whether this node may accept new work.
+    ///
+    /// # Errors
+    /// `ZoneEvacuated` if its zone is evacuated, `Unconfirmed` without a recent confirmation by the leading control node.
     pub fn check_admission(&self) -> Result<(), ErrorKind> {
         self.check_service(Duration::ZERO)
     }
 
-    /// Whether a transaction that is open may go on here.
+    /// Checks whether an open transaction may continue on this node; an evacuation takes effect after its grace period.
+    ///
+    /// # Errors
+    /// As `check_admission`.
     pub fn check_continuation(&self) -> Result<(), ErrorKind> {
         self.check_service(self.bounds.evacuation_grace())
     }
 
-    /// Whether the leading hub's word was the newest lately.
+    /// Whether the leading control node confirmed the node's snapshot as the newest within the confirmation validity.
     pub fn is_confirmed(&self) -> bool {
         let view = self.journal.view();
         let fresh = view.confirmed_at.is_some_and(|t| self.env.now() <= t + self.bounds.confirmation_validity());
         fresh || (self.disabled.no_confirm && view.image.is_some())
     }
 
-    /// Whether work may go on, in an area that was emptied no longer than `since` ago.
-    fn check_service(&self, since: Duration) -> Result<(), ErrorKind> {
-        let emptied = self.journal.view().evacuated_since.get(&self.zone).is_some_and(|t| self.env.now() >= *t + since);
-        if emptied && !self.disabled.no_empty && !self.serve_in_evacuated_zone {
+    /// Checks whether work may be done, given that the zone was evacuated for less than `grace`.
+    fn check_service(&self, grace: Duration) -> Result<(), ErrorKind> {
+        let evacuated =
+            self.journal.view().evacuated_since.get(&self.zone).is_some_and(|t| self.env.now() >= *t + grace);
+        if evacuated && !self.disabled.no_empty && !self.serve_in_evacuated_zone {
             return Err(ErrorKind::ZoneEvacuated);
         }
         if self.is_confirmed() { Ok(()) } else { Err(ErrorKind::Unconfirmed) }
     }
 
-    /// The doorway of a name.
+    /// The route of a database name.
+    ///
+    /// # Errors
+    /// `Unconfirmed` before the first snapshot, `NoDatabase` for an unknown name.
     pub fn route(&self, name: &str) -> Result<MatchedRoute, ErrorKind> {
         let view = self.journal.view();
         view.image.as_ref().ok_or(ErrorKind::Unconfirmed)?;
-        let d = view.route(name).ok_or(ErrorKind::NoDatabase)?;
-        let promise = Consistency::parse(&d.consistency).ok_or(ErrorKind::NoDatabase)?;
-        let span = |ms: u64| (ms > 0).then(|| Duration::from_millis(ms));
+        let route = view.route(name).ok_or(ErrorKind::NoDatabase)?;
+        let consistency = Consistency::parse(&route.consistency).ok_or(ErrorKind::NoDatabase)?;
+        let configured = |ms: u64| (ms > 0).then(|| Duration::from_millis(ms));
         Ok(MatchedRoute {
-            name: d.name.clone(),
-            group: d.group.clone(),
-            consistency: promise,
-            fallback_to_primary: d.fallback,
-            statement_timeout: span(d.statement_ms),
-            target_latency: span(d.aim_ms),
-            max_staleness: span(d.fresh_ms),
+            name: route.name.clone(),
+            group: route.group.clone(),
+            consistency,
+            fallback_to_primary: route.fallback,
+            statement_timeout: configured(route.statement_ms),
+            target_latency: configured(route.aim_ms),
+            max_staleness: configured(route.fresh_ms),
         })
     }
 
-    /// How long a statement may take, by the operator's word.
+    /// The statement timeout and the idle timeout of a transaction: the operator's limits, otherwise the bounds' values.
     pub fn default_timeouts(&self) -> (Duration, Duration) {
         let view = self.journal.view();
-        let l = view.image.as_ref().and_then(|i| i.limits).unwrap_or_default();
-        let or = |n: u64, d: Duration| if n == 0 { d } else { Duration::from_millis(n) };
-        (or(l.statement_ms, self.bounds.statement_timeout()), or(l.idle_ms, self.bounds.transaction_idle_timeout()))
+        let limits = view.image.as_ref().and_then(|i| i.limits).unwrap_or_default();
+        let or_default = |ms: u64, default: Duration| if ms == 0 { default } else { Duration::from_millis(ms) };
+        (
+            or_default(limits.statement_ms, self.bounds.statement_timeout()),
+            or_default(limits.idle_ms, self.bounds.transaction_idle_timeout()),
+        )
     }
 
-    /// Whether a server must get no new work: draining, gone, or in an emptied area. Judged at every statement.
-    fn is_excluded(&self, view: &View, server: &str, leads: bool) -> bool {
+    /// Whether a server must receive no new work because it is draining, unreachable or in an evacuated zone. Evaluated for
+    /// every statement.
+    fn is_excluded(&self, view: &View, server: &str, is_primary: bool) -> bool {
         let now = self.env.now();
-        let Some(s) = view.servers.get(server) else { return true };
-        let emptied = view.evacuated_since.get(&s.zone).copied().filter(|_| !self.disabled.no_empty);
-        if leads {
-            // A leader works on until its successor does, but not past the bound.
-            let since = [s.draining_since, emptied].into_iter().flatten().min();
+        let Some(state) = view.servers.get(server) else { return true };
+        let evacuated_since = view.evacuated_since.get(&state.zone).copied().filter(|_| !self.disabled.no_empty);
+        if is_primary {
+            // A primary keeps working until its successor takes over, but no longer than the grace period.
+            let since = [state.draining_since, evacuated_since].into_iter().flatten().min();
             return since.is_some_and(|t| now > t + self.bounds.evacuation_grace());
         }
-        let dead = self.health.observation(server).failed_reads > 0;
-        (s.draining_since.is_some() || s.gone_since.is_some() || emptied.is_some() || dead) && !self.disabled.no_veto
+        let failing = self.health.observation(server).failed_reads > 0;
+        (state.draining_since.is_some() || state.gone_since.is_some() || evacuated_since.is_some() || failing)
+            && !self.disabled.no_veto
     }
 
-    /// Whether a server may still be worked with.
+    /// Whether the target is still a member of its group and not excluded.
     pub fn is_usable(&self, target: &Target) -> bool {
-        let leads = matches!(target.condition, Condition::PrimaryLease { .. });
+        let is_primary = matches!(target.condition, Condition::PrimaryLease { .. });
         let view = self.journal.view();
         let allowed =
             view.image.as_ref().and_then(|i| i.group_of(&target.server)).is_some_and(|g| g.name == target.group);
-        (allowed || self.disabled.no_group) && !self.is_excluded(&view, &target.server, leads)
+        (allowed || self.disabled.no_group) && !self.is_excluded(&view, &target.server, is_primary)
     }
 
+    /// The primary of a group under a lease that is valid now.
     fn valid_lease(&self, view: &View, group: &str) -> Result<Target, ErrorKind> {
         let now = self.env.now();
-        let l = view.primary_leases.get(group).ok_or(ErrorKind::NoPrimary)?;
-        if now >= l.valid_until && !self.disabled.no_fence {
+        let lease = view.primary_leases.get(group).ok_or(ErrorKind::NoPrimary)?;
+        if now >= lease.valid_until && !self.disabled.no_fence {
             return Err(ErrorKind::NoPrimary);
         }
-        if self.is_excluded(view, &l.server, true) {
+        if self.is_excluded(view, &lease.server, true) {
             return Err(ErrorKind::NoPrimary);
         }
         Ok(Target {
-            server: l.server.clone(),
+            server: lease.server.clone(),
             group: group.into(),
-            condition: Condition::PrimaryLease { line: l.epoch },
+            condition: Condition::PrimaryLease { epoch: lease.epoch },
         })
     }
 
-    /// Where a write or a transaction may go.
-    pub fn route_write(&self, gate: &MatchedRoute) -> RouteDecision {
+    /// Selects the server for a write or a transaction.
+    pub fn route_write(&self, route: &MatchedRoute) -> RouteDecision {
         let now = self.env.now();
         let view = self.journal.view();
-        let lead = match self.valid_lease(&view, &gate.group) {
-            Ok(t) => t,
-            Err(k) => return RouteDecision::Reject(k),
+        let primary = match self.valid_lease(&view, &route.group) {
+            Ok(target) => target,
+            Err(kind) => return RouteDecision::Reject(kind),
         };
-        let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
+        let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == route.group)) else {
             return RouteDecision::Reject(ErrorKind::NoDatabase);
         };
-        // With no follower that receives, a commit could not be acknowledged: refuse while "not kept" is certain.
+        // Without a replica that receives, no commit could be acknowledged: reject while "not committed" is certain.
         let since = now.saturating_sub(self.bounds.freshness_bound());
-        if let Some((_, head)) = self.health.primary_position_since(&gate.group, since) {
-            let follows =
-                |s: &&String| **s != lead.server && self.health.has_position(s, head) && self.health.counts_as_copy(s);
-            if g.servers.len() > 1 && g.servers.iter().filter(follows).count() == 0 {
+        if let Some((_, head)) = self.health.primary_position_since(&route.group, since) {
+            let replicates = |server: &&String| {
+                **server != primary.server
+                    && self.health.has_position(server, head)
+                    && self.health.counts_as_copy(server)
+            };
+            if group.servers.len() > 1 && group.servers.iter().filter(replicates).count() == 0 {
                 return RouteDecision::Reject(ErrorKind::NoServer);
             }
         }
-        RouteDecision::Send(lead)
+        RouteDecision::Send(primary)
     }
 
-    /// Where a read may go: inside the standing list, less the vetoed, with the doorway's promise kept.
-    pub fn route_read(&self, gate: &MatchedRoute, key: &ListKey, token: Token, tried: &[String]) -> RouteDecision {
+    /// Selects the server for a read: one of the eligible set that is not excluded and fulfils the route's consistency.
+    pub fn route_read(&self, route: &MatchedRoute, key: &ListKey, token: Token, tried: &[String]) -> RouteDecision {
         let view = self.journal.view();
-        let lead = self.valid_lease(&view, &gate.group);
-        let own = gate.consistency == Consistency::Session && token.outcome_unknown && !self.disabled.no_token;
-        if gate.consistency == Consistency::Leader || own {
-            return match lead {
-                Ok(t) if tried.iter().filter(|s| **s == t.server).count() < 2 => RouteDecision::Send(t),
+        let primary = self.valid_lease(&view, &route.group);
+        let outcome_unknown =
+            route.consistency == Consistency::Session && token.outcome_unknown && !self.disabled.no_token;
+        if route.consistency == Consistency::Leader || outcome_unknown {
+            return match primary {
+                Ok(target) if tried.iter().filter(|s| **s == target.server).count() < 2 => RouteDecision::Send(target),
                 Ok(_) => RouteDecision::Reject(ErrorKind::ServerFailed),
-                Err(k) => RouteDecision::Reject(k),
+                Err(kind) => RouteDecision::Reject(kind),
             };
         }
-        let leader = view.primary_leases.get(&gate.group).map(|l| l.server.clone());
-        let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
+        let primary_name = view.primary_leases.get(&route.group).map(|l| l.server.clone());
+        let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == route.group)) else {
             return RouteDecision::Reject(ErrorKind::NoDatabase);
         };
-        let any = view.servers.keys().filter(|_| self.disabled.no_group);
-        let own = g.servers.iter().filter(|_| !self.disabled.no_group);
-        let free: Vec<&String> = own
-            .chain(any)
-            .filter(|s| Some(*s) != leader.as_ref() && !tried.contains(s))
+        let all_servers = view.servers.keys().filter(|_| self.disabled.no_group);
+        let group_servers = group.servers.iter().filter(|_| !self.disabled.no_group);
+        let available: Vec<&String> = group_servers
+            .chain(all_servers)
+            .filter(|s| Some(*s) != primary_name.as_ref() && !tried.contains(s))
             .filter(|s| !self.is_excluded(&view, s, false) && self.pools.limit(s) > 1)
             .collect();
-        let fit: Vec<(&String, Condition)> =
-            free.iter().filter_map(|s| Some((*s, self.replica_condition(gate, token, s)?))).collect();
-        if let Some(t) = self.choose_server(gate, key, &fit) {
-            return RouteDecision::Send(t);
+        let candidates: Vec<(&String, Condition)> =
+            available.iter().filter_map(|s| Some((*s, self.replica_condition(route, token, s)?))).collect();
+        if let Some(target) = self.choose_server(route, key, &candidates) {
+            return RouteDecision::Send(target);
         }
-        match lead {
-            Ok(t) if gate.fallback_to_primary && !tried.contains(&t.server) => RouteDecision::Send(t),
+        match primary {
+            Ok(target) if route.fallback_to_primary && !tried.contains(&target.server) => RouteDecision::Send(target),
             Ok(_) => RouteDecision::Reject(ErrorKind::NoServer),
-            Err(k) => RouteDecision::Reject(k),
+            Err(kind) => RouteDecision::Reject(kind),
         }
     }
 
-    /// On what the promise would rest if this follower answered; `None` when it can't keep it.
-    fn replica_condition(&self, gate: &MatchedRoute, token: Token, server: &str) -> Option<Condition> {
+    /// The condition under which this replica may answer; `None` when it can't fulfil the route's consistency.
+    fn replica_condition(&self, route: &MatchedRoute, token: Token, server: &str) -> Option<Condition> {
         let now = self.env.now();
-        let none = Condition::AtLeast { place: Position::default() };
-        match gate.consistency {
+        let unconditional = Condition::AtLeast { position: Position::default() };
+        match route.consistency {
             Consistency::Leader => None,
-            Consistency::Any => Some(none),
-            Consistency::Session if self.disabled.no_token => Some(none),
+            Consistency::Any => Some(unconditional),
+            Consistency::Session if self.disabled.no_token => Some(unconditional),
             Consistency::Session => {
-                let held =
+                let reached =
                     token.read_floor == Position::default() || self.health.has_position(server, token.read_floor);
-                held.then_some(Condition::AtLeast { place: token.read_floor })
+                reached.then_some(Condition::AtLeast { position: token.read_floor })
             }
-            Consistency::Bound if self.disabled.no_fresh => Some(none),
+            Consistency::Bound if self.disabled.no_fresh => Some(unconditional),
             Consistency::Bound => {
-                // A sixth of the bound is left for the way there and back.
-                let room = self.bounds.freshness_bound() * 5 / 6;
-                let (asked, head) = self.health.primary_position_since(&gate.group, now.saturating_sub(room))?;
-                self.health.has_position(server, head).then_some(Condition::PrimaryPosition { asked, head })
+                // A sixth of the bound is reserved for the round trip.
+                let max_age = self.bounds.freshness_bound() * 5 / 6;
+                let (requested_at, head) =
+                    self.health.primary_position_since(&route.group, now.saturating_sub(max_age))?;
+                self.health.has_position(server, head).then_some(Condition::PrimaryPosition { requested_at, head })
             }
         }
     }
 
-    fn choose_server(&self, gate: &MatchedRoute, key: &ListKey, fit: &[(&String, Condition)]) -> Option<Target> {
+    /// Chooses one of the candidates by weight and load. One attempt in eight goes to a server outside the eligible set that
+    /// has sample budget left.
+    fn choose_server(
+        &self,
+        route: &MatchedRoute,
+        key: &ListKey,
+        candidates: &[(&String, Condition)],
+    ) -> Option<Target> {
         let mut lists = self.health.lists.borrow_mut();
         let list = lists.entry(key.clone()).or_default();
-        let sampled = fit.iter().find(|(s, _)| {
+        let sampled = candidates.iter().find(|(s, _)| {
             !list.eligible.contains(s)
                 && list.sample_budget.get(*s).is_some_and(|n| *n > 0)
                 && self.env.rand_below(8) == 0
         });
-        let (server, basis) = match sampled {
-            Some((s, b)) => {
-                if let Some(n) = list.sample_budget.get_mut(*s) {
-                    *n -= 1;
+        let (server, condition) = match sampled {
+            Some((server, condition)) => {
+                if let Some(budget) = list.sample_budget.get_mut(*server) {
+                    *budget -= 1;
                 }
-                (*s, b)
+                (*server, condition)
             }
             None => {
-                let within: Vec<_> = fit.iter().filter(|(s, _)| list.eligible.contains(s)).collect();
-                // Fails open to those that are left, never to a vetoed server or past the doorway.
-                let rows: Vec<_> = if within.is_empty() { fit.iter().collect() } else { within };
+                let eligible: Vec<_> = candidates.iter().filter(|(s, _)| list.eligible.contains(s)).collect();
+                // With no eligible candidate, fails open to the remaining ones: never to an excluded server, and never to
+                // one that the route does not allow.
+                let rows: Vec<_> = if eligible.is_empty() { candidates.iter().collect() } else { eligible };
                 let pairs: Vec<(f64, f64)> = rows
                     .iter()
                     .map(|(s, _)| (list.weights.get(*s).copied().unwrap_or(1.0), self.pools.load(s)))
                     .collect();
-                let roll = || self.env.rand_below(1 << 20) as f64 / (1u64 << 20) as f64;
-                let (s, b) = rows[choose(&pairs, (roll(), roll()))?];
-                (*s, b)
+                let random = || self.env.rand_below(1 << 20) as f64 / (1u64 << 20) as f64;
+                let (server, condition) = rows[choose(&pairs, (random(), random()))?];
+                (*server, condition)
             }
         };
-        Some(Target { server: server.clone(), group: gate.group.clone(), condition: basis.clone() })
+        Some(Target { server: server.clone(), group: route.group.clone(), condition: condition.clone() })
     }
 
-    /// Where a write or a transaction of a group whose servers confirm may go. One that answers nothing here may be
-    /// reached from another node.
+    /// Selects the server for a write or a transaction of a group whose servers confirm commits.
+    ///
+    /// # Errors
+    /// `NoPrimary` without a valid lease; `NoServer` if the primary does not respond to this node, which another node may
+    /// still be able to reach.
     pub fn route_to_primary(&self, group: &str) -> Result<Target, ErrorKind> {
         let target = self.valid_lease(&self.journal.view(), group)?;
         if self.is_unresponsive(&target.server) { Err(ErrorKind::NoServer) } else { Ok(target) }
     }
 
-    /// Whether what this node asks of a server stands unanswered for too long.
+    /// Whether requests of this node to a server have been unanswered for too long.
     fn is_unresponsive(&self, server: &str) -> bool {
-        let x = self.health.observation(server);
-        x.unresponsive_since(self.pools.connecting_since(server))
+        let observation = self.health.observation(server);
+        observation
+            .unresponsive_since(self.pools.connecting_since(server))
             .is_some_and(|t| self.env.now() > t + self.bounds.server_missed_after() / 2)
     }
 
-    /// Whether the leave to act on the target as leader stands now. What was begun under it may be ended without it: the
-    /// server itself refuses once another leads, and no other's commit is acknowledged while this leave is out.
+    /// Whether this node holds a valid lease for the target as primary. Work begun under the lease may finish without it:
+    /// the server itself refuses once another server is primary, and no commit of another primary is acknowledged while
+    /// this lease is outstanding.
     pub fn holds_lease(&self, target: &Target) -> bool {
         let view = self.journal.view();
-        let grant = view.primary_leases.get(&target.group);
-        grant.is_some_and(|l| l.server == target.server && self.env.now() < l.valid_until) || self.disabled.no_fence
+        let lease = view.primary_leases.get(&target.group);
+        lease.is_some_and(|l| l.server == target.server && self.env.now() < l.valid_until) || self.disabled.no_fence
     }
 
-    /// Where a read of a group whose servers confirm may go, and which position the server itself must find in its log.
-    /// Inside the standing list, less the vetoed and the silent.
+    /// Selects the server for a read of a group whose servers confirm commits, and the position that the server itself must
+    /// find in its log. Only servers of the eligible set that are neither excluded nor unresponsive are considered.
     pub fn route_confirmed_read(
         &self,
-        gate: &MatchedRoute,
+        route: &MatchedRoute,
         key: &ListKey,
-        own: Position,
+        last_commit: Position,
         tried: &[String],
     ) -> RouteDecision {
         let view = self.journal.view();
-        let lead = self.valid_lease(&view, &gate.group);
-        let floor = match gate.consistency {
+        let primary = self.valid_lease(&view, &route.group);
+        let required = match route.consistency {
             Consistency::Leader => None,
             Consistency::Any => Some(Position::default()),
             Consistency::Bound | Consistency::Session => {
-                let fresh = gate.max_staleness.unwrap_or(self.bounds.freshness_bound());
-                let since = self.env.now().saturating_sub(fresh * 5 / 6);
-                let own = if self.disabled.no_token { Position::default() } else { own };
-                let head = self.health.primary_position_since(&gate.group, since).map(|(_, head)| head.max(own));
+                let max_staleness = route.max_staleness.unwrap_or(self.bounds.freshness_bound());
+                let since = self.env.now().saturating_sub(max_staleness * 5 / 6);
+                let last_commit = if self.disabled.no_token { Position::default() } else { last_commit };
+                let head =
+                    self.health.primary_position_since(&route.group, since).map(|(_, head)| head.max(last_commit));
                 if self.disabled.no_fresh { Some(Position::default()) } else { head }
             }
         };
-        let again = |s: &String| tried.iter().filter(|t| *t == s).count();
-        let at_lead = |k: ErrorKind| match &lead {
-            Ok(t) if again(&t.server) < 2 => RouteDecision::Send(t.clone()),
+        let attempts_at = |s: &String| tried.iter().filter(|t| *t == s).count();
+        let at_primary = |kind: ErrorKind| match &primary {
+            Ok(target) if attempts_at(&target.server) < 2 => RouteDecision::Send(target.clone()),
             Ok(_) => RouteDecision::Reject(ErrorKind::ServerFailed),
-            Err(_) => RouteDecision::Reject(k),
+            Err(_) => RouteDecision::Reject(kind),
         };
-        let Some(floor) = floor else { return at_lead(ErrorKind::NoPrimary) };
-        let leader = view.primary_leases.get(&gate.group).map(|l| l.server.clone());
-        let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == gate.group)) else {
+        let Some(required) = required else { return at_primary(ErrorKind::NoPrimary) };
+        let primary_name = view.primary_leases.get(&route.group).map(|l| l.server.clone());
+        let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == route.group)) else {
             return RouteDecision::Reject(ErrorKind::NoDatabase);
         };
-        let free = |s: &&String| {
-            Some(*s) != leader.as_ref()
-                && again(s) == 0
+        let is_available = |s: &&String| {
+            Some(*s) != primary_name.as_ref()
+                && attempts_at(s) == 0
                 && !self.is_excluded(&view, s, false)
                 && !self.is_unresponsive(s)
                 && self.pools.limit(s) > 0
         };
-        let mut rows: Vec<&String> = g.servers.iter().filter(free).collect();
-        if rows.iter().any(|s| self.health.has_position(s, floor)) {
-            // Others would refuse, being behind.
-            rows.retain(|s| self.health.has_position(s, floor));
+        let mut available: Vec<&String> = group.servers.iter().filter(is_available).collect();
+        if available.iter().any(|s| self.health.has_position(s, required)) {
+            // The others are behind the position and would refuse.
+            available.retain(|s| self.health.has_position(s, required));
         }
-        let near = |s: &&String| view.servers.get(*s).is_some_and(|x| x.zone == self.zone);
-        let basis = Condition::AtLeast { place: floor };
-        fn fit<'a>(rows: &[&'a String], basis: &Condition) -> Vec<(&'a String, Condition)> {
-            rows.iter().map(|s| (*s, basis.clone())).collect()
+        let in_own_zone = |s: &&String| view.servers.get(*s).is_some_and(|state| state.zone == self.zone);
+        let condition = Condition::AtLeast { position: required };
+        fn candidates<'a>(servers: &[&'a String], condition: &Condition) -> Vec<(&'a String, Condition)> {
+            servers.iter().map(|s| (*s, condition.clone())).collect()
         }
-        let in_list = |rows: &[(&String, Condition)]| {
+        let any_eligible = |rows: &[(&String, Condition)]| {
             let lists = self.health.lists.borrow();
             let list = lists.get(key);
             rows.iter().any(|(s, _)| list.is_none_or(|l| l.eligible.contains(s)))
         };
-        // The list says who may read; the order inside it puts the own area first while that is not crowded.
-        let close: Vec<&String> = rows.iter().copied().filter(near).filter(|s| self.pools.load(s) < 0.75).collect();
-        let close = fit(&close, &basis);
-        let chosen = if in_list(&close) { self.choose_server(gate, key, &close) } else { None };
-        match chosen.or_else(|| self.choose_server(gate, key, &fit(&rows, &basis))) {
-            Some(t) => RouteDecision::Send(t),
-            None if gate.fallback_to_primary => at_lead(ErrorKind::NoServer),
+        // Within the eligible set, servers of the own zone come first while their pools are not crowded.
+        let local: Vec<&String> =
+            available.iter().copied().filter(in_own_zone).filter(|s| self.pools.load(s) < 0.75).collect();
+        let local = candidates(&local, &condition);
+        let chosen = if any_eligible(&local) { self.choose_server(route, key, &local) } else { None };
+        match chosen.or_else(|| self.choose_server(route, key, &candidates(&available, &condition))) {
+            Some(target) => RouteDecision::Send(target),
+            None if route.fallback_to_primary => at_primary(ErrorKind::NoServer),
             None => RouteDecision::Reject(ErrorKind::NoServer),
         }
     }
 
-    /// Whether what a send rests on still stands; asked before the send and again before the answer.
+    /// Whether the target's condition still holds; called before the attempt and again before the response.
     pub fn is_valid(&self, target: &Target) -> bool {
         let now = self.env.now();
         match target.condition {
-            Condition::PrimaryLease { line } => {
+            Condition::PrimaryLease { epoch } => {
                 let view = self.journal.view();
-                let grant = view.primary_leases.get(&target.group);
-                let stands = grant.is_some_and(|l| l.epoch == line && l.server == target.server && now < l.valid_until);
-                stands || self.disabled.no_fence
+                let lease = view.primary_leases.get(&target.group);
+                let valid = lease.is_some_and(|l| l.epoch == epoch && l.server == target.server && now < l.valid_until);
+                valid || self.disabled.no_fence
             }
-            Condition::PrimaryPosition { asked, .. } => now <= asked + self.bounds.freshness_bound(),
+            Condition::PrimaryPosition { requested_at, .. } => now <= requested_at + self.bounds.freshness_bound(),
             Condition::AtLeast { .. } => true,
         }
     }
 
-    /// Whether the answer's own signs bear out what the send rests on: a server that came back without part of its
-    /// log, or no longer leads, shows it.
-    pub fn is_satisfied_by(&self, target: &Target, signs: &ResponseMetadata) -> bool {
+    /// Whether the response's metadata satisfies the target's condition. A server that came back without part of its log, or
+    /// that is no longer primary, shows it there.
+    pub fn is_satisfied_by(&self, target: &Target, metadata: &ResponseMetadata) -> bool {
         if self.disabled.grow {
             return true;
         }
-        let held = |want: Position| signs.position.is_none_or(|p| p.epoch >= want.epoch && p.index >= want.index);
+        let reached =
+            |wanted: Position| metadata.position.is_none_or(|p| p.epoch >= wanted.epoch && p.index >= wanted.index);
         match target.condition {
-            Condition::PrimaryLease { line } => {
-                let leads = signs.is_primary && signs.position.is_some_and(|p| p.epoch == line);
-                leads && self.health.counts_as_copy(&target.server)
+            Condition::PrimaryLease { epoch } => {
+                let is_primary = metadata.is_primary && metadata.position.is_some_and(|p| p.epoch == epoch);
+                is_primary && self.health.counts_as_copy(&target.server)
             }
-            Condition::PrimaryPosition { head, .. } => held(head),
-            Condition::AtLeast { place } => held(place),
+            Condition::PrimaryPosition { head, .. } => reached(head),
+            Condition::AtLeast { position } => reached(position),
         }
     }
 
-    /// Whether a commit at this place lies on a second server of the group; looks for it where that seems soonest.
-    pub fn has_second_copy(&self, target: &Target, place: Position, all: bool) -> bool {
+    /// Whether a second server of the group holds the commit at this position. If not, requests a position read from the
+    /// replica that is likely to reach it first, or from every replica where `all` is set.
+    pub fn has_second_copy(&self, target: &Target, position: Position, all: bool) -> bool {
         let view = self.journal.view();
-        let Some(g) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == target.group)) else {
+        let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == target.group)) else {
             return false;
         };
         if self.disabled.no_second {
             return true;
         }
-        // A leader whose log lost something gives the same places out twice.
+        // A primary whose log lost entries assigns the same positions twice.
         if !self.health.counts_as_copy(&target.server) && !self.disabled.grow {
             return false;
         }
-        if g.servers.len() == 1 {
+        if group.servers.len() == 1 {
             return true;
         }
-        let others: Vec<&String> = g.servers.iter().filter(|s| **s != target.server).collect();
-        let held = |s: &&String| {
-            let x = self.health.observation(s);
-            x.position.epoch == place.epoch && x.position.index >= place.index && self.health.counts_as_copy(s)
+        let replicas: Vec<&String> = group.servers.iter().filter(|s| **s != target.server).collect();
+        let has_commit = |s: &&String| {
+            let observation = self.health.observation(s);
+            observation.position.epoch == position.epoch
+                && observation.position.index >= position.index
+                && self.health.counts_as_copy(s)
         };
-        if others.iter().any(held) {
+        if replicas.iter().any(has_commit) {
             return true;
         }
-        let near = others.iter().max_by_key(|s| {
-            let x = self.health.observation(s);
-            (x.failed_reads == 0, x.position)
+        let nearest = replicas.iter().max_by_key(|s| {
+            let observation = self.health.observation(s);
+            (observation.failed_reads == 0, observation.position)
         });
-        for s in others.iter().filter(|s| all || Some(*s) == near) {
-            self.health.await_position(s, place);
+        for server in replicas.iter().filter(|s| all || Some(*s) == nearest) {
+            self.health.await_position(server, position);
         }
         false
     }
