--- a/spoke/src/protocol/attempt.rs
+++ b/spoke/src/protocol/attempt.rs
@@ -1,3 +1,5 @@
+//! One attempt of a statement at a server, and the timeouts and admission of new statements.
+
 use std::{collections::BTreeMap, time::Duration};
 
 use base::{
@@ -16,39 +18,41 @@
     routing::MatchedRoute,
 };
 
-/// What a connection has to wear for a statement.
+/// The session state that a connection must have for a statement.
 #[derive(Clone, Default)]
 pub struct RequiredState {
     values: BTreeMap<String, String>,
+    /// The prepared statement to execute: whether it writes, and its text.
     prepared: Option<(bool, String)>,
 }
 
 impl RequiredState {
-    /// As the session stands.
-    pub fn for_statement(session: &SessionData, said: &Statement) -> Self {
-        Self { values: session.values.clone(), prepared: session.prepared(said) }
+    /// The session's current values, and the prepared statement that `statement` names.
+    pub fn for_statement(session: &SessionData, statement: &Statement) -> Self {
+        Self { values: session.values.clone(), prepared: session.prepared(statement) }
     }
 }
 
-/// Why a send brought no answer that can be used.
+/// Why an attempt brought no usable response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptError {
-    /// Nothing of it was run.
+    /// The statement was not executed.
     NotRun(ErrorKind),
-    /// It was run and failed.
+    /// The statement was executed and failed.
     Failed(ErrorKind),
-    /// It may have been run.
+    /// The statement may have been executed.
     Unknown,
 }
 
-/// Why sending a statement that may take effect brought no answer that can be used. Only where it surely was not run does
-/// the statement come back to be sent again.
+/// Why an attempt of a statement that may take effect brought no usable response. The statement is returned for another
+/// attempt only if it was certainly not executed.
 #[derive(Debug)]
 pub enum OnceAttemptError {
+    /// The statement was not executed.
     NotRun(ErrorKind, Once),
-    /// It was run and failed.
+    /// The statement was executed and failed.
     Failed(ErrorKind),
-    /// It may have been run.
+    /// The statement may have been executed.
     Unknown,
 }
 
@@ -67,25 +71,26 @@
     pub(super) async fn send_repeatable(
         &self,
         slot: &mut Slot,
-        key: &ListKey,
+        list_key: &ListKey,
         statement: &Repeatable,
         state: &RequiredState,
         after: Option<Position>,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<ServerReply, AttemptError> {
-        self.send_statement(slot, key, statement.statement(), state, after, due).await
+        self.send_statement(slot, list_key, statement.statement(), state, after, deadline).await
     }
 
-    /// Attempts a statement that may take effect, and takes it away.
+    /// Attempts a statement that may take effect. Consumes the statement, so that it can't be sent again unless the error
+    /// returns it.
     pub(super) async fn send_once(
         &self,
         slot: &mut Slot,
-        key: &ListKey,
+        list_key: &ListKey,
         statement: Once,
         state: &RequiredState,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<ServerReply, OnceAttemptError> {
-        match self.send_statement(slot, key, statement.statement(), state, None, due).await {
+        match self.send_statement(slot, list_key, statement.statement(), state, None, deadline).await {
             Ok(reply) => Ok(reply),
             Err(AttemptError::NotRun(kind)) => Err(OnceAttemptError::NotRun(kind, statement)),
             Err(AttemptError::Failed(kind)) => Err(OnceAttemptError::Failed(kind)),
@@ -93,49 +98,49 @@
         }
     }
 
-    /// Says one statement to a server on a connection that wears what it must; notes how it went. Private to this file:
-    /// others send what may be repeated and what may not in the two ways above.
+    /// Executes one statement on a connection after applying the required state, and records the outcome. Private to this
+    /// file: other code uses `send_repeatable` and `send_once`, which keep apart what may be sent again and what may not.
     async fn send_statement(
         &self,
         slot: &mut Slot,
-        key: &ListKey,
-        said: &Statement,
+        list_key: &ListKey,
+        statement: &Statement,
         state: &RequiredState,
         after: Option<Position>,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<ServerReply, AttemptError> {
         let server = slot.server().to_string();
-        let asked = self.env.now();
+        let requested_at = self.env.now();
         self.health.record_sent(&server);
-        let prepared = state.prepared.as_ref().map(|(w, t)| (t.as_str(), *w));
-        let plain = BTreeMap::new();
-        let values = if self.router.disabled.no_wipe { &plain } else { &state.values };
-        let name = slot.apply_session_values(values, prepared, due).await.map_err(|_| {
-            self.health.record(key, &server, Outcome::Error, self.env.now() - asked);
+        let prepared = state.prepared.as_ref().map(|(writes, text)| (text.as_str(), *writes));
+        let no_values = BTreeMap::new();
+        let values = if self.router.disabled.no_wipe { &no_values } else { &state.values };
+        let name = slot.apply_session_values(values, prepared, deadline).await.map_err(|_| {
+            self.health.record(list_key, &server, Outcome::Error, self.env.now() - requested_at);
             AttemptError::NotRun(ErrorKind::NoServer)
         })?;
         let renamed;
-        let said = if name.is_empty() {
-            said
+        let statement = if name.is_empty() {
+            statement
         } else {
-            renamed = Statement { name, ..said.clone() };
+            renamed = Statement { name, ..statement.clone() };
             &renamed
         };
-        let out = slot.execute(said, after, due).await;
-        let took = self.env.now() - asked;
-        let reply = match out {
-            Ok(r) => r,
-            Err(fault) => {
-                self.health.record(key, &server, Outcome::Error, took);
-                return Err(if fault == CallError::NotSent {
+        let result = slot.execute(statement, after, deadline).await;
+        let latency = self.env.now() - requested_at;
+        let reply = match result {
+            Ok(reply) => reply,
+            Err(error) => {
+                self.health.record(list_key, &server, Outcome::Error, latency);
+                return Err(if error == CallError::NotSent {
                     AttemptError::NotRun(ErrorKind::NoServer)
                 } else {
                     AttemptError::Unknown
                 });
             }
         };
-        self.health.record_response(&server, asked, reply.position);
-        let (end, miss) = match &reply.outcome {
+        self.health.record_response(&server, requested_at, reply.position);
+        let (outcome, error) = match &reply.outcome {
             ServerOutcome::Done(_) => (Outcome::Good, None),
             ServerOutcome::Refused(RefusalReason::Busy) => {
                 (Outcome::Throttled, Some(AttemptError::NotRun(ErrorKind::Overloaded)))
@@ -153,51 +158,55 @@
             ServerOutcome::Failed => (Outcome::Error, Some(AttemptError::Failed(ErrorKind::ServerFailed))),
             ServerOutcome::Expired => (Outcome::Error, Some(AttemptError::Failed(ErrorKind::DeadlineExceeded))),
         };
-        self.health.record(key, &server, end, took);
-        miss.map_or(Ok(reply), Err)
+        self.health.record(list_key, &server, outcome, latency);
+        error.map_or(Ok(reply), Err)
     }
 
-    /// How long a statement of a doorway may take, and how long it may wait for somebody to take it: half of that, so that
-    /// an election is lived through here. What is given up on is told at once.
-    pub fn timeouts(&self, gate: &MatchedRoute) -> (Duration, Duration) {
-        let most = gate.statement_timeout.unwrap_or_else(|| self.router.default_timeouts().0);
-        (most, most / 2)
+    /// The statement timeout of a route, and how long a statement may wait for a server that accepts it: half of the
+    /// timeout, so that a statement outlasts an election and the client still gets its error early.
+    pub fn timeouts(&self, route: &MatchedRoute) -> (Duration, Duration) {
+        let statement_timeout = route.statement_timeout.unwrap_or_else(|| self.router.default_timeouts().0);
+        (statement_timeout, statement_timeout / 2)
     }
 
-    /// The doorway of a statement outside a transaction, until when it may take and until when it may wait.
-    pub async fn admit_statement(&self, name: &str) -> Result<(MatchedRoute, ListKey, Duration, Duration), ErrorKind> {
+    /// Waits for admission of a statement outside a transaction. Returns its route, its list key, its deadline and the time
+    /// until which it may be retried.
+    pub async fn admit_statement(
+        &self,
+        database: &str,
+    ) -> Result<(MatchedRoute, ListKey, Duration, Duration), ErrorKind> {
         let start = self.env.now();
-        let gate = self.admitted_route(name).await?;
-        let (most, patience) = self.timeouts(&gate);
-        Ok((gate, self.health.list_key(name, ""), start + most, start + patience))
+        let route = self.admitted_route(database).await?;
+        let (statement_timeout, max_wait) = self.timeouts(&route);
+        Ok((route, self.health.list_key(database, ""), start + statement_timeout, start + max_wait))
     }
 
-    /// The doorway that binds a new statement or transaction: the one in force once this node may take new work. What was
-    /// in force while it waited for that may have been replaced since.
-    pub async fn admitted_route(&self, name: &str) -> Result<MatchedRoute, ErrorKind> {
-        let patience = match self.router.route(name) {
-            Ok(gate) => self.timeouts(&gate).1,
+    /// The route of a new statement or transaction: the one in force once this node may accept new work. The route that was
+    /// in force before the wait may have been replaced in the meantime.
+    pub async fn admitted_route(&self, database: &str) -> Result<MatchedRoute, ErrorKind> {
+        let max_wait = match self.router.route(database) {
+            Ok(route) => self.timeouts(&route).1,
             Err(_) => self.router.bounds.call_timeout(),
         };
-        if let Err(kind) = self.wait_for_admission(self.env.now() + patience).await {
+        if let Err(kind) = self.wait_for_admission(self.env.now() + max_wait).await {
             increment(&self.counters.refused);
             return Err(kind);
         }
-        self.router.route(name)
+        self.router.route(database)
     }
 
-    /// Waits until this node may take new work, up to a time.
-    pub async fn wait_for_admission(&self, until: Duration) -> Result<(), ErrorKind> {
+    /// Waits until this node may accept new work, or until `deadline`.
+    pub async fn wait_for_admission(&self, deadline: Duration) -> Result<(), ErrorKind> {
         loop {
             match self.router.check_admission() {
-                Err(k) if self.env.now() >= until => return Err(k),
+                Err(kind) if self.env.now() >= deadline => return Err(kind),
                 Err(_) => self.wait_for_change().await,
                 Ok(()) => return Ok(()),
             }
         }
     }
 
-    /// Rests until something moved or a moment has passed.
+    /// Waits until the view changes, for at most a twentieth of the control nodes' heartbeat interval.
     pub async fn wait_for_change(&self) {
         let seen = self.journal.changed.generation();
         let _ = self
--- a/spoke/src/protocol/mod.rs
+++ b/spoke/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Sessions in the users' manner: what a caller says is answered here, or brought to the server that the decision object
-//! names. Values and prepared names live in the session and are worn by whichever connection serves it.
+//! Client sessions that are independent of a wire format: statements are answered here, or sent to the server that the
+//! router selects. Values and prepared names belong to the session and are applied to whichever connection serves it.
 
 mod attempt;
 mod client_session;
@@ -16,7 +16,7 @@
 
 use crate::execution::{ExecutionContext, increment};
 
-/// Where doors open sessions.
+/// Opens sessions for the endpoints that accept clients.
 pub struct SessionOpener {
     pub context: Rc<ExecutionContext>,
 }
@@ -26,7 +26,7 @@
         match self.context.router.route(name) {
             Ok(_) => {}
             Err(ErrorKind::NoDatabase) => return Err(StatementError::not_committed(ErrorKind::NoDatabase)),
-            Err(k) => return Err(StatementError::not_committed(k)),
+            Err(kind) => return Err(StatementError::not_committed(kind)),
         }
         increment(&self.context.counters.sessions);
         Ok(Rc::new(client_session::ClientSession::new(&self.context, name)))
--- a/spoke/src/protocol/read.rs
+++ b/spoke/src/protocol/read.rs
@@ -1,3 +1,5 @@
+//! Single reads of a session, with a second attempt at another server when the first response is slow.
+
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use base::{
@@ -17,12 +19,13 @@
     routing::{Condition, MatchedRoute, RouteDecision, Target},
 };
 
-/// How often one read is sent at most.
+/// The most attempts of one read in a row; the count restarts after a wait for an available server.
 const MAX_ATTEMPTS: usize = 4;
 
+/// The server of an attempt and its result.
 type ReadResult = (String, Result<ServerReply, AttemptError>);
 
-/// What every send of one read shares.
+/// What all attempts of one read share.
 struct ReadTask {
     route: MatchedRoute,
     list_key: ListKey,
@@ -32,44 +35,45 @@
 }
 
 impl ExecutionContext {
-    /// A single read. It may be sent to a second server when the first one's answer is late: nothing is changed by it.
+    /// Executes a single read. When the first server's response is slow, a second attempt is sent to another server: a read
+    /// changes nothing, so it may run twice.
     pub(super) async fn protocol_read(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
         statement: Repeatable,
     ) -> StatementResponse {
         increment(&self.counters.reads);
-        let (name, own) = {
-            let s = session.borrow();
-            (s.database.clone(), s.last_commit)
+        let (database, last_commit) = {
+            let session = session.borrow();
+            (session.database.clone(), session.last_commit)
         };
-        let no = |kind: ErrorKind| response(Err(StatementError::not_committed(kind)), None);
-        let (gate, key, due, until) = match self.admit_statement(&name).await {
-            Ok(e) => e,
-            Err(k) => return no(k),
+        let not_committed = |kind: ErrorKind| response(Err(StatementError::not_committed(kind)), None);
+        let (route, list_key, deadline, retry_until) = match self.admit_statement(&database).await {
+            Ok(admitted) => admitted,
+            Err(kind) => return not_committed(kind),
         };
-        let hedge = gate.target_latency.unwrap_or_else(|| self.timeouts(&gate).0) / 2;
+        let hedge_delay = route.target_latency.unwrap_or_else(|| self.timeouts(&route).0) / 2;
         let state = RequiredState::for_statement(&session.borrow(), statement.statement());
-        let task = Rc::new(ReadTask { route: gate, list_key: key, statement, state, deadline: due });
+        let task = Rc::new(ReadTask { route, list_key, statement, state, deadline });
         let mut tried: Vec<String> = Vec::new();
-        let mut sends: FuturesUnordered<LocalBoxFuture<'static, ReadResult>> = FuturesUnordered::new();
-        let mut last = ErrorKind::NoServer;
+        let mut attempts: FuturesUnordered<LocalBoxFuture<'static, ReadResult>> = FuturesUnordered::new();
+        let mut last_error = ErrorKind::NoServer;
         loop {
             let now = self.env.now();
             if now >= task.deadline {
                 break;
             }
-            if sends.is_empty() {
-                match self.next_target(&task, own, &tried) {
-                    Ok(t) if tried.len() < MAX_ATTEMPTS => {
-                        tried.push(t.server.clone());
-                        sends.push(self.clone().attempt_read(task.clone(), t).boxed_local());
+            if attempts.is_empty() {
+                match self.next_target(&task, last_commit, &tried) {
+                    Ok(target) if tried.len() < MAX_ATTEMPTS => {
+                        tried.push(target.server.clone());
+                        attempts.push(self.clone().attempt_read(task.clone(), target).boxed_local());
                     }
                     other => {
-                        if let Err(k) = other {
-                            last = k;
+                        if let Err(kind) = other {
+                            last_error = kind;
                         }
-                        if now >= until || tried.len() >= MAX_ATTEMPTS {
+                        if now >= retry_until || tried.len() >= MAX_ATTEMPTS {
                             break;
                         }
                         tried.clear();
@@ -78,81 +82,82 @@
                     }
                 }
             }
-            let late = self.env.sleep(hedge).fuse();
-            let over = self.env.sleep(task.deadline - now).fuse();
-            futures::pin_mut!(late, over);
+            let slow = self.env.sleep(hedge_delay).fuse();
+            let timed_out = self.env.sleep(task.deadline - now).fuse();
+            futures::pin_mut!(slow, timed_out);
             select_biased! {
-                ended = sends.next() => {
-                    let Some((_, out)) = ended else { continue };
-                    match out {
+                ended = attempts.next() => {
+                    let Some((_, result)) = ended else { continue };
+                    match result {
                         Ok(reply) => {
-                            self.finish_in_background(sends);
+                            self.finish_in_background(attempts);
                             return read_response(reply);
                         }
-                        Err(AttemptError::NotRun(k)) => {
-                            last = k;
-                            if k == ErrorKind::Overloaded {
+                        Err(AttemptError::NotRun(kind)) => {
+                            last_error = kind;
+                            if kind == ErrorKind::Overloaded {
                                 self.wait_for_change().await;
                             }
                         }
-                        Err(AttemptError::Failed(k)) => last = k,
-                        Err(AttemptError::Unknown) => last = ErrorKind::ServerFailed,
+                        Err(AttemptError::Failed(kind)) => last_error = kind,
+                        Err(AttemptError::Unknown) => last_error = ErrorKind::ServerFailed,
                     }
                 }
-                _ = late => {
+                _ = slow => {
                     if tried.len() < 2
-                        && let Ok(t) = self.next_target(&task, own, &tried)
+                        && let Ok(target) = self.next_target(&task, last_commit, &tried)
                     {
                         increment(&self.counters.retried);
-                        tried.push(t.server.clone());
-                        sends.push(self.clone().attempt_read(task.clone(), t).boxed_local());
-                    } else if let Some((_, Ok(reply))) = self.env.timeout(task.deadline - now, sends.next()).await.ok().flatten() {
-                        self.finish_in_background(sends);
+                        tried.push(target.server.clone());
+                        attempts.push(self.clone().attempt_read(task.clone(), target).boxed_local());
+                    } else if let Some((_, Ok(reply))) = self.env.timeout(task.deadline - now, attempts.next()).await.ok().flatten() {
+                        self.finish_in_background(attempts);
                         return read_response(reply);
                     }
                 }
-                _ = over => {}
+                _ = timed_out => {}
             }
         }
-        self.finish_in_background(sends);
+        self.finish_in_background(attempts);
         increment(&self.counters.refused);
-        let ran = !tried.is_empty() && matches!(last, ErrorKind::ServerFailed | ErrorKind::DeadlineExceeded);
+        let was_run = !tried.is_empty() && matches!(last_error, ErrorKind::ServerFailed | ErrorKind::DeadlineExceeded);
         response(
-            Err(if ran {
+            Err(if was_run {
                 StatementError::outcome_unknown(ErrorKind::ServerFailed)
             } else {
-                StatementError::not_committed(last)
+                StatementError::not_committed(last_error)
             }),
             None,
         )
     }
 
-    /// Lets sends that are still out come to their end, so that no connection is cut while its server is at work.
-    fn finish_in_background(&self, mut sends: FuturesUnordered<LocalBoxFuture<'static, ReadResult>>) {
-        if !sends.is_empty() {
-            self.env.spawn(async move { while sends.next().await.is_some() {} }).detach();
+    /// Lets outstanding attempts finish in the background, so that no connection is closed while its server is executing a
+    /// statement.
+    fn finish_in_background(&self, mut attempts: FuturesUnordered<LocalBoxFuture<'static, ReadResult>>) {
+        if !attempts.is_empty() {
+            self.env.spawn(async move { while attempts.next().await.is_some() {} }).detach();
         }
     }
 
-    fn next_target(&self, task: &ReadTask, own: Position, tried: &[String]) -> Result<Target, ErrorKind> {
-        match self.router.route_confirmed_read(&task.route, &task.list_key, own, tried) {
-            RouteDecision::Send(t) => Ok(t),
-            RouteDecision::Reject(k) => Err(k),
+    fn next_target(&self, task: &ReadTask, last_commit: Position, tried: &[String]) -> Result<Target, ErrorKind> {
+        match self.router.route_confirmed_read(&task.route, &task.list_key, last_commit, tried) {
+            RouteDecision::Send(target) => Ok(target),
+            RouteDecision::Reject(kind) => Err(kind),
         }
     }
 
     async fn attempt_read(self: Rc<Self>, task: Rc<ReadTask>, target: Target) -> ReadResult {
         let server = target.server.clone();
-        let out = self.execute_read(&task, &target).await;
-        (server, out)
+        let result = self.execute_read(&task, &target).await;
+        (server, result)
     }
 
     async fn execute_read(&self, task: &ReadTask, target: &Target) -> Result<ServerReply, AttemptError> {
         let pool = self.pools.get(&target.server).ok_or(AttemptError::NotRun(ErrorKind::NoServer))?;
         let mut slot = pool.acquire(task.deadline).await.map_err(AttemptError::NotRun)?;
-        // Time was spent in the inbox: what the send rests on is looked at anew.
-        let lead = matches!(target.condition, Condition::PrimaryLease { .. });
-        if !self.router.is_usable(target) || (lead && !self.router.holds_lease(target)) {
+        // Time passed while waiting for the connection, so the target is checked again.
+        let at_primary = matches!(target.condition, Condition::PrimaryLease { .. });
+        if !self.router.is_usable(target) || (at_primary && !self.router.holds_lease(target)) {
             return Err(AttemptError::NotRun(ErrorKind::NoPrimary));
         }
         let after = required_position(target);
@@ -160,7 +165,7 @@
     }
 }
 
-/// The position that the server must find in its log.
+/// The position that the server must find in its log before it executes the statement, if any.
 pub fn required_position(target: &Target) -> Option<Position> {
     match target.condition {
         Condition::AtLeast { position } if position != Position::default() => Some(position),
@@ -169,8 +174,8 @@
 }
 
 fn read_response(reply: ServerReply) -> StatementResponse {
-    let ServerOutcome::Done(mark) = reply.outcome else {
+    let ServerOutcome::Done(tag) = reply.outcome else {
         return response(Err(StatementError::outcome_unknown(ErrorKind::ServerFailed)), None);
     };
-    StatementResponse { rows: reply.rows, ..response(Ok(mark), reply.position) }
+    StatementResponse { rows: reply.rows, ..response(Ok(tag), reply.position) }
 }
--- a/spoke/src/protocol/transaction.rs
+++ b/spoke/src/protocol/transaction.rs
@@ -1,3 +1,5 @@
+//! Transactions of a session. A transaction is opened at a server with its first statement, not with its BEGIN.
+
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use base::{
@@ -22,159 +24,180 @@
     routing::{Condition, MatchedRoute, RouteDecision},
 };
 
-/// A transaction that was opened at a server, on a connection of its own.
+/// A transaction that is open at a server, on a connection that it keeps until its end.
 pub struct ProtocolTransaction {
     slot: Slot,
     list_key: ListKey,
     route: MatchedRoute,
     has_writes: bool,
+    /// Ends the transaction when it has been idle for too long.
     idle_timer: Option<TaskGuard>,
 }
 
 impl ExecutionContext {
-    /// Rolls back at the server; a connection that doesn't show it did is closed.
-    pub async fn abort_transaction(&self, mut t: ProtocolTransaction) {
-        let due = self.env.now() + self.router.bounds.call_timeout();
-        let out = t.slot.execute(&Statement::internal(StatementKind::Rollback), None, due).await;
-        if !matches!(&out, Ok(r) if r.transaction == TransactionState::Idle && matches!(r.outcome, ServerOutcome::Done(_)))
-        {
-            t.slot.taint();
+    /// Rolls a transaction back at its server. The connection is closed unless the server confirms the rollback.
+    pub async fn abort_transaction(&self, mut transaction: ProtocolTransaction) {
+        let deadline = self.env.now() + self.router.bounds.call_timeout();
+        let result = transaction.slot.execute(&Statement::internal(StatementKind::Rollback), None, deadline).await;
+        if !matches!(
+            &result,
+            Ok(reply) if reply.transaction == TransactionState::Idle && matches!(reply.outcome, ServerOutcome::Done(_))
+        ) {
+            transaction.slot.taint();
         }
     }
 
-    /// Ends the transaction if nothing comes within the operator's limit.
+    /// Ends the transaction if no statement arrives within the idle timeout.
     pub(super) fn start_protocol_idle_timer(self: &Rc<Self>, session: &Rc<RefCell<SessionData>>) {
-        let (_, idle) = self.router.default_timeouts();
-        let (me, weak) = (self.clone(), Rc::downgrade(session));
-        let Some(t) = &mut session.borrow_mut().transaction else { return };
-        t.idle_timer = Some(self.env.spawn(async move {
-            me.env.sleep(idle).await;
-            let Some(session) = weak.upgrade() else { return };
-            let t = {
-                let mut s = session.borrow_mut();
-                s.transaction_state = TransactionState::Failed;
-                s.ended_by_node = true;
-                s.begin = None;
-                s.transaction.take()
+        let (_, idle_timeout) = self.router.default_timeouts();
+        let (context, weak_session) = (self.clone(), Rc::downgrade(session));
+        let Some(transaction) = &mut session.borrow_mut().transaction else { return };
+        transaction.idle_timer = Some(self.env.spawn(async move {
+            context.env.sleep(idle_timeout).await;
+            let Some(session) = weak_session.upgrade() else { return };
+            let transaction = {
+                let mut session = session.borrow_mut();
+                session.transaction_state = TransactionState::Failed;
+                session.ended_by_node = true;
+                session.begin = None;
+                session.transaction.take()
             };
-            if let Some(mut t) = t {
-                if let Some(j) = t.idle_timer.take() {
-                    // This very task: it must not end itself.
-                    j.detach();
+            if let Some(mut transaction) = transaction {
+                if let Some(timer) = transaction.idle_timer.take() {
+                    // This is the running task itself; dropping its guard would cancel it.
+                    timer.detach();
                 }
-                me.abort_transaction(t).await;
+                context.abort_transaction(transaction).await;
             }
         }));
     }
 
-    /// A statement of an open transaction; the first one opens it at a server.
+    /// Executes a statement in the open transaction. The first one opens the transaction at a server.
     pub(super) async fn protocol_statement_in_transaction(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
-        said: &Statement,
-        writes: bool,
+        statement: &Statement,
+        is_write: bool,
     ) -> StatementResponse {
-        let held = session.borrow_mut().transaction.take();
-        let state = RequiredState::for_statement(&session.borrow(), said);
-        let (mut t, due) = match held {
-            Some(mut t) => {
-                t.idle_timer = None;
-                let (most, _) = self.timeouts(&t.route);
-                let due = self.env.now() + most;
-                (t, due)
+        let open = session.borrow_mut().transaction.take();
+        let state = RequiredState::for_statement(&session.borrow(), statement);
+        let (mut transaction, deadline) = match open {
+            Some(mut transaction) => {
+                transaction.idle_timer = None;
+                let (statement_timeout, _) = self.timeouts(&transaction.route);
+                let deadline = self.env.now() + statement_timeout;
+                (transaction, deadline)
             }
             None => {
-                let begun = session.borrow().begin.clone();
-                let Some(begun) = begun else {
+                let begin = session.borrow().begin.clone();
+                let Some(begin) = begin else {
                     return self.fail(session, StatementError::not_committed(ErrorKind::OutOfOrder));
                 };
-                return self.open_and_execute(session, &begun, said, writes, &state).await;
+                return self.open_and_execute(session, &begin, statement, is_write, &state).await;
             }
         };
-        t.has_writes |= writes;
-        let due = self.response_deadline(&t.route, due);
-        let out = self.send_once(&mut t.slot, &t.list_key, Once::new(said.clone()), &state, due).await;
-        self.finish_statement(session, t, out.map_err(AttemptError::from))
+        transaction.has_writes |= is_write;
+        let deadline = self.response_deadline(&transaction.route, deadline);
+        let result = self
+            .send_once(&mut transaction.slot, &transaction.list_key, Once::new(statement.clone()), &state, deadline)
+            .await;
+        self.finish_statement(session, transaction, result.map_err(AttemptError::from))
     }
 
-    /// When an answer inside a transaction is given up on. Nothing of it is kept before its commit, so its caller may
-    /// make it again whole, and had better soon.
-    fn response_deadline(&self, gate: &MatchedRoute, due: Duration) -> Duration {
-        gate.target_latency.map_or(due, |a| due.min(self.env.now() + a * 2))
+    /// The deadline of a statement inside a transaction: at most twice the route's target latency. Nothing of a transaction
+    /// is stored before its commit, so the client may repeat all of it, and should be able to do so early.
+    fn response_deadline(&self, route: &MatchedRoute, deadline: Duration) -> Duration {
+        route.target_latency.map_or(deadline, |latency| deadline.min(self.env.now() + latency * 2))
     }
 
     fn finish_statement(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
-        t: ProtocolTransaction,
-        out: Result<base::protocol::ServerReply, AttemptError>,
+        transaction: ProtocolTransaction,
+        result: Result<base::protocol::ServerReply, AttemptError>,
     ) -> StatementResponse {
-        match out {
+        match result {
             Ok(reply) => {
-                let ServerOutcome::Done(mark) = reply.outcome else {
+                let ServerOutcome::Done(tag) = reply.outcome else {
                     return self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost));
                 };
-                session.borrow_mut().transaction = Some(t);
+                session.borrow_mut().transaction = Some(transaction);
                 self.start_protocol_idle_timer(session);
-                StatementResponse { rows: reply.rows, ..response(Ok(mark), reply.position) }
+                StatementResponse { rows: reply.rows, ..response(Ok(tag), reply.position) }
             }
             Err(_) => {
-                // Its commit was never sent: whatever became of this statement, nothing of the transaction is kept.
-                session.borrow_mut().transaction = Some(t);
+                // Its COMMIT was never sent: whatever the outcome of this statement, nothing of the transaction is stored.
+                session.borrow_mut().transaction = Some(transaction);
                 increment(&self.counters.refused);
                 self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost))
             }
         }
     }
 
-    /// Opens the transaction and says its first statement; both again elsewhere while that was surely not run.
+    /// Opens the transaction at a server and executes its first statement. Both are repeated elsewhere as long as the
+    /// statement was certainly not executed and the route's waiting time is not over.
     async fn open_and_execute(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
-        begun: &Statement,
-        said: &Statement,
-        writes: bool,
+        begin: &Statement,
+        first_statement: &Statement,
+        is_write: bool,
         state: &RequiredState,
     ) -> StatementResponse {
-        let name = session.borrow().database.clone();
+        let database = session.borrow().database.clone();
         let start = self.env.now();
-        let gate = match self.admitted_route(&name).await {
-            Ok(g) => g,
-            Err(k) => return self.fail(session, StatementError::not_committed(k)),
+        let route = match self.admitted_route(&database).await {
+            Ok(route) => route,
+            Err(kind) => return self.fail(session, StatementError::not_committed(kind)),
         };
-        let (most, patience) = self.timeouts(&gate);
-        let due = start + most;
-        let key = self.health.list_key(&name, "");
+        let (statement_timeout, max_wait) = self.timeouts(&route);
+        let deadline = start + statement_timeout;
+        let list_key = self.health.list_key(&database, "");
         let mut tried = Vec::new();
-        let mut statement = Once::new(said.clone());
+        let mut statement = Once::new(first_statement.clone());
         loop {
-            let opened = self.open_transaction(session, &gate, &key, begun, due, &mut tried).await;
+            let opened = self.open_transaction(session, &route, &list_key, begin, deadline, &mut tried).await;
             let kind = match opened {
-                Err(k) => k,
+                Err(kind) => kind,
                 Ok(slot) => {
-                    let mut t = ProtocolTransaction {
+                    let mut transaction = ProtocolTransaction {
                         slot,
-                        list_key: key.clone(),
-                        route: gate.clone(),
-                        has_writes: writes,
+                        list_key: list_key.clone(),
+                        route: route.clone(),
+                        has_writes: is_write,
                         idle_timer: None,
                     };
-                    let out =
-                        self.send_once(&mut t.slot, &key, statement, state, self.response_deadline(&gate, due)).await;
-                    match out {
-                        Err(OnceAttemptError::NotRun(k, back)) if said.kind != StatementKind::Commit => {
-                            statement = back;
-                            self.abort_transaction(t).await;
-                            k
+                    let result = self
+                        .send_once(
+                            &mut transaction.slot,
+                            &list_key,
+                            statement,
+                            state,
+                            self.response_deadline(&route, deadline),
+                        )
+                        .await;
+                    match result {
+                        Err(OnceAttemptError::NotRun(kind, returned))
+                            if first_statement.kind != StatementKind::Commit =>
+                        {
+                            statement = returned;
+                            self.abort_transaction(transaction).await;
+                            kind
                         }
-                        out if said.kind == StatementKind::Commit => {
-                            return self.finish_protocol_commit(session, t, out.map_err(AttemptError::from));
+                        result if first_statement.kind == StatementKind::Commit => {
+                            return self.finish_protocol_commit(
+                                session,
+                                transaction,
+                                result.map_err(AttemptError::from),
+                            );
+                        }
+                        result => {
+                            return self.finish_statement(session, transaction, result.map_err(AttemptError::from));
                         }
-                        out => return self.finish_statement(session, t, out.map_err(AttemptError::from)),
                     }
                 }
             };
-            if self.env.now() >= start + patience {
+            if self.env.now() >= start + max_wait {
                 increment(&self.counters.refused);
                 return self.fail(session, StatementError::not_committed(kind));
             }
@@ -183,45 +206,48 @@
         }
     }
 
-    /// A connection on which the transaction was opened: at the leader, or where it only reads and the doorway allows it,
-    /// where a read may go.
+    /// Opens the transaction on a connection to the primary; a read-only transaction, where the route allows it, on a
+    /// connection to a server selected as for a read.
     async fn open_transaction(
         &self,
         session: &Rc<RefCell<SessionData>>,
-        gate: &MatchedRoute,
-        key: &ListKey,
-        begun: &Statement,
-        due: Duration,
+        route: &MatchedRoute,
+        list_key: &ListKey,
+        begin: &Statement,
+        deadline: Duration,
         tried: &mut Vec<String>,
     ) -> Result<Slot, ErrorKind> {
-        let reads = begun.kind == StatementKind::Begin { reads: true };
-        let own = session.borrow().last_commit;
-        let (mut slot, target) = if reads && gate.consistency != Consistency::Leader {
-            let target = match self.router.route_confirmed_read(gate, key, own, tried) {
-                RouteDecision::Send(t) => t,
-                RouteDecision::Reject(k) => {
+        let read_only = begin.kind == StatementKind::Begin { reads: true };
+        let last_commit = session.borrow().last_commit;
+        let (mut slot, target) = if read_only && route.consistency != Consistency::Leader {
+            let target = match self.router.route_confirmed_read(route, list_key, last_commit, tried) {
+                RouteDecision::Send(target) => target,
+                RouteDecision::Reject(kind) => {
                     tried.clear();
-                    return Err(k);
+                    return Err(kind);
                 }
             };
             tried.push(target.server.clone());
             let pool = self.pools.get(&target.server).ok_or(ErrorKind::NoServer)?;
-            let slot = pool.acquire(due).await?;
-            let lead = matches!(target.condition, Condition::PrimaryLease { .. });
-            if !self.router.is_usable(&target) || (lead && !self.router.holds_lease(&target)) {
+            let slot = pool.acquire(deadline).await?;
+            let at_primary = matches!(target.condition, Condition::PrimaryLease { .. });
+            if !self.router.is_usable(&target) || (at_primary && !self.router.holds_lease(&target)) {
                 return Err(ErrorKind::NoPrimary);
             }
             (slot, target)
         } else {
-            self.acquire_primary_slot(&gate.group, due).await?
+            self.acquire_primary_slot(&route.group, deadline).await?
         };
-        let state = RequiredState::for_statement(&session.borrow(), begun);
-        let opening = Repeatable::begin(begun).ok_or(ErrorKind::OutOfOrder)?;
-        match self.send_repeatable(&mut slot, key, &opening, &state, required_position(&target), due).await {
+        let state = RequiredState::for_statement(&session.borrow(), begin);
+        let repeatable_begin = Repeatable::begin(begin).ok_or(ErrorKind::OutOfOrder)?;
+        match self
+            .send_repeatable(&mut slot, list_key, &repeatable_begin, &state, required_position(&target), deadline)
+            .await
+        {
             Ok(_) => Ok(slot),
-            Err(AttemptError::NotRun(k)) => {
+            Err(AttemptError::NotRun(kind)) => {
                 slot.taint();
-                Err(k)
+                Err(kind)
             }
             Err(_) => {
                 slot.taint();
@@ -230,64 +256,66 @@
         }
     }
 
-    /// Commits; only a server's own word makes it a success.
+    /// Commits the transaction. Only the server's own confirmation makes it a success.
     pub(super) async fn commit(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
-        said: &Statement,
+        statement: &Statement,
     ) -> StatementResponse {
-        let held = session.borrow_mut().transaction.take();
-        let Some(mut t) = held else {
-            // Nothing was said in it; even so the answer has to be a server's.
-            let begun = session.borrow().begin.clone();
-            let Some(begun) = begun else {
+        let open = session.borrow_mut().transaction.take();
+        let Some(mut transaction) = open else {
+            // The transaction is empty, yet the response to its COMMIT has to come from a server.
+            let begin = session.borrow().begin.clone();
+            let Some(begin) = begin else {
                 return self.fail(session, StatementError::not_committed(ErrorKind::OutOfOrder));
             };
-            let state = RequiredState::for_statement(&session.borrow(), said);
-            let out = self.open_and_execute(session, &begun, said, false, &state).await;
-            if out.result.is_err() {
+            let state = RequiredState::for_statement(&session.borrow(), statement);
+            let response = self.open_and_execute(session, &begin, statement, false, &state).await;
+            if response.result.is_err() {
                 session.borrow_mut().transaction_state = TransactionState::Idle;
             }
-            return out;
+            return response;
         };
-        t.idle_timer = None;
-        let (most, _) = self.timeouts(&t.route);
-        let due = self.env.now() + most;
-        let state = RequiredState::for_statement(&session.borrow(), said);
-        let out = self.send_once(&mut t.slot, &t.list_key, Once::new(said.clone()), &state, due).await;
-        self.finish_protocol_commit(session, t, out.map_err(AttemptError::from))
+        transaction.idle_timer = None;
+        let (statement_timeout, _) = self.timeouts(&transaction.route);
+        let deadline = self.env.now() + statement_timeout;
+        let state = RequiredState::for_statement(&session.borrow(), statement);
+        let result = self
+            .send_once(&mut transaction.slot, &transaction.list_key, Once::new(statement.clone()), &state, deadline)
+            .await;
+        self.finish_protocol_commit(session, transaction, result.map_err(AttemptError::from))
     }
 
     fn finish_protocol_commit(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
-        mut t: ProtocolTransaction,
-        out: Result<base::protocol::ServerReply, AttemptError>,
+        mut transaction: ProtocolTransaction,
+        result: Result<base::protocol::ServerReply, AttemptError>,
     ) -> StatementResponse {
-        let mut s = session.borrow_mut();
-        s.transaction_state = TransactionState::Idle;
-        s.begin = None;
-        match out {
+        let mut session = session.borrow_mut();
+        session.transaction_state = TransactionState::Idle;
+        session.begin = None;
+        match result {
             Ok(reply) => {
                 if reply.transaction != TransactionState::Idle {
-                    t.slot.taint();
+                    transaction.slot.taint();
                 }
-                let ServerOutcome::Done(mark) = reply.outcome else {
+                let ServerOutcome::Done(tag) = reply.outcome else {
                     return response(Err(StatementError::outcome_unknown(ErrorKind::OutcomeUnknown)), None);
                 };
-                if let Some(p) = reply.position.filter(|_| t.has_writes) {
-                    s.last_commit = s.last_commit.max(p);
+                if let Some(position) = reply.position.filter(|_| transaction.has_writes) {
+                    session.last_commit = session.last_commit.max(position);
                 }
-                StatementResponse { rows: reply.rows, ..response(Ok(mark), reply.position) }
+                StatementResponse { rows: reply.rows, ..response(Ok(tag), reply.position) }
             }
-            Err(miss) => {
-                t.slot.taint();
-                // What wrote nothing has nothing that could be kept.
-                let certain = !t.has_writes || matches!(miss, AttemptError::NotRun(_));
+            Err(error) => {
+                transaction.slot.taint();
+                // A transaction without writes has nothing that could have been committed.
+                let certain = !transaction.has_writes || matches!(error, AttemptError::NotRun(_));
                 increment(if certain { &self.counters.refused } else { &self.counters.unknown });
                 let kind = if certain { ErrorKind::TransactionLost } else { ErrorKind::OutcomeUnknown };
-                let kept = if certain { WriteOutcome::NotCommitted } else { WriteOutcome::Unknown };
-                response(Err(StatementError { outcome: kept, ..StatementError::not_committed(kind) }), None)
+                let outcome = if certain { WriteOutcome::NotCommitted } else { WriteOutcome::Unknown };
+                response(Err(StatementError { outcome, ..StatementError::not_committed(kind) }), None)
             }
         }
     }
