--- a/spoke/src/health/mod.rs
+++ b/spoke/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! What this node measures of the servers it talks to, and the standing lists made of it.
+//! What this node measures of the servers, and the lists of eligible servers that are evaluated from it.
 
 mod sample;
 mod select;
@@ -22,7 +22,7 @@
 
 use crate::view::Journal;
 
-/// How many head readings of a group are kept.
+/// How many positions of a group's primary are kept.
 const MAX_PRIMARY_POSITIONS: usize = 32;
 
 /// What one server last showed.
@@ -31,42 +31,43 @@
     pub position: Position,
     /// The identity of the log.
     pub log_id: u64,
-    /// The turn at which the log counted when it was seen to have lost something.
+    /// The admission number that the log had when it was seen to have lost entries.
     pub lost_at_admission: Option<u64>,
-    /// When the newest answer came.
+    /// When the newest response arrived.
     pub last_response_at: Option<Duration>,
+    /// How many entries the server is behind its group's primary.
     pub lag: u64,
-    /// Readings in a row that brought nothing.
+    /// How many position reads in a row have failed.
     pub failed_reads: u32,
-    /// How many of these were turned away at once.
+    /// How many of these were rejected at once.
     pub refused_connections: u32,
-    /// Since when something sent here stands unanswered.
+    /// Since when a request to this server has been unanswered.
     pub pending_since: Option<Duration>,
-    /// A commit that someone waits to see here.
+    /// The position of a commit that some session waits to see on this server.
     pub awaited_position: Position,
 }
 
 impl Observation {
-    /// Since when a server in the users' manner has answered nothing that was asked of it, nor taken the connections that
-    /// were `trying` since then.
-    pub fn unresponsive_since(&self, trying: Option<Duration>) -> Option<Duration> {
-        let trying = trying.filter(|t| self.last_response_at.is_none_or(|a| a < *t));
-        [self.pending_since, trying].into_iter().flatten().min()
+    /// Since when a server of a group that confirms commits has neither answered a request nor accepted the connections that
+    /// the node has been trying to open since `connecting_since`.
+    pub fn unresponsive_since(&self, connecting_since: Option<Duration>) -> Option<Duration> {
+        let connecting_since = connecting_since.filter(|t| self.last_response_at.is_none_or(|at| at < *t));
+        [self.pending_since, connecting_since].into_iter().flatten().min()
     }
 }
 
-/// A database, and a statement kind where lists are kept per kind (else `*`).
+/// A database, and a statement kind where lists are kept per kind (otherwise `*`).
 pub type ListKey = (String, String);
 
-/// One standing list with its measurements and weights.
+/// The eligible set of one database, with its measurements and weights.
 #[derive(Default)]
 pub struct SelectionList {
     pub windows: BTreeMap<String, Window>,
     pub eligible: EligibleSet,
     pub weights: Weights,
-    /// Real statements that excluded servers may still be given in this cycle.
+    /// How many real statements each excluded server may still receive until the next resampling.
     pub sample_budget: BTreeMap<String, u64>,
-    /// A statement was measured since the weights were last tuned.
+    /// Whether a statement was measured since the weights were last adjusted.
     has_new_measurements: bool,
 }
 
@@ -76,35 +77,43 @@
     journal: Rc<Journal>,
     pub bounds: RefCell<Bounds>,
     pub policy: RefCell<PolicySettings>,
-    /// Rung when the policy was changed.
+    /// Notified when the policy was changed.
     pub policy_changed: Notify,
     pub observations: RefCell<BTreeMap<String, Observation>>,
     pub lists: RefCell<BTreeMap<ListKey, SelectionList>>,
+    /// By group, positions of its primary with the time at which each was requested.
     primary_positions: RefCell<BTreeMap<String, VecDeque<(Duration, Position)>>>,
-    /// Rung when a position was read.
+    /// Notified when a position was read.
     pub position_changed: Notify,
-    /// Rung when someone waits for a position.
+    /// Notified when a session starts to wait for a position.
     pub position_wanted: Notify,
-    /// Evaluations so far, all lists together.
+    /// How many evaluations were made, over all lists.
     pub evaluation_count: Cell<u64>,
-    /// Test switch: places never go back.
+    /// Test switch: recorded positions never go back.
     keep_highest_position: bool,
-    /// Position readings so far.
+    /// How many positions were read.
     pub position_reads: Cell<u64>,
 }
 
-/// How far a place is behind a head. On an older line only what lay before the newest election is common to both.
-fn lag(head: Position, place: Position, from: Position) -> u64 {
-    let common = if place.epoch < head.epoch { place.index.min(from.index) } else { place.index };
+/// How many entries `position` is behind `head`. On an older epoch, only the entries before the start of the newest epoch are
+/// common to both.
+fn lag(head: Position, position: Position, epoch_start: Position) -> u64 {
+    let common = if position.epoch < head.epoch { position.index.min(epoch_start.index) } else { position.index };
     head.index.saturating_sub(common)
 }
 
-/// How many statement kinds may have lists of their own.
+/// With this many lists, further statement kinds use the common list of their database.
 const MAX_LISTS_WITH_KIND: usize = 64;
 
 impl HealthMeasurements {
-    /// Nothing measured yet.
-    pub fn new(env: &Env, journal: Rc<Journal>, bounds: Bounds, policy: PolicySettings, grow: bool) -> Rc<Self> {
+    /// Without any measurement.
+    pub fn new(
+        env: &Env,
+        journal: Rc<Journal>,
+        bounds: Bounds,
+        policy: PolicySettings,
+        keep_highest_position: bool,
+    ) -> Rc<Self> {
         Rc::new(Self {
             env: env.clone(),
             journal,
@@ -118,20 +127,20 @@
             position_wanted: Notify::default(),
             evaluation_count: Cell::default(),
             position_reads: Cell::default(),
-            keep_highest_position: grow,
+            keep_highest_position,
         })
     }
 
-    /// The list a statement falls under.
-    pub fn list_key(&self, name: &str, label: &str) -> ListKey {
+    /// The key of the list that a statement belongs to.
+    pub fn list_key(&self, database: &str, label: &str) -> ListKey {
         let kind = if self.policy.borrow().per_kind && !label.is_empty() { label } else { "*" };
-        (name.into(), kind.into())
+        (database.into(), kind.into())
     }
 
-    /// Takes in how a statement ended.
-    pub fn record(&self, key: &ListKey, server: &str, out: Outcome, time: Duration) {
+    /// Records the outcome of a statement and its latency.
+    pub fn record(&self, key: &ListKey, server: &str, outcome: Outcome, latency: Duration) {
         let now = self.env.now();
-        let span = Duration::from_millis(self.policy.borrow().window_ms);
+        let window = Duration::from_millis(self.policy.borrow().window_ms);
         let mut lists = self.lists.borrow_mut();
         let key = if lists.len() >= MAX_LISTS_WITH_KIND && !lists.contains_key(key) {
             &(key.0.clone(), "*".into())
@@ -139,13 +148,13 @@
             key
         };
         let list = lists.entry(key.clone()).or_default();
-        list.has_new_measurements |= !matches!(out, Outcome::Probe | Outcome::Missed);
-        list.windows.entry(server.into()).or_insert_with(|| Window::new(span)).record(now, out, time);
+        list.has_new_measurements |= !matches!(outcome, Outcome::Probe | Outcome::Missed);
+        list.windows.entry(server.into()).or_insert_with(|| Window::new(window)).record(now, outcome, latency);
     }
 
-    /// Takes in how a position reading ended, for every list of the group.
-    fn record_probe(&self, server: &str, good: bool) {
-        let out = if good { Outcome::Probe } else { Outcome::Missed };
+    /// Records the outcome of a position read in every list of the server's group.
+    fn record_probe(&self, server: &str, succeeded: bool) {
+        let outcome = if succeeded { Outcome::Probe } else { Outcome::Missed };
         let keys: Vec<ListKey> = {
             let view = self.journal.view();
             let Some(image) = &view.image else { return };
@@ -159,136 +168,152 @@
             names.flat_map(of_name).collect()
         };
         for key in keys {
-            self.record(&key, server, out, Duration::ZERO);
+            self.record(&key, server, outcome, Duration::ZERO);
         }
     }
 
-    /// Takes in a position that a server showed in answer to something sent at `asked`.
-    pub fn record_position(&self, server: &str, asked: Duration, place: Position, log: u64) {
+    /// Records a position that a server showed in its response to a request sent at `requested_at`.
+    pub fn record_position(&self, server: &str, requested_at: Duration, position: Position, log_id: u64) {
         let now = self.env.now();
-        let (group, lead, turn, elect) = {
+        let (group, lease, admission, election) = {
             let view = self.journal.view();
             let Some(image) = &view.image else { return };
-            let Some(g) = image.group_of(server) else { return };
-            let lead = view.primary_leases.get(&g.name).filter(|l| l.server == server && now < l.valid_until).cloned();
-            let turn = image.log(server).map_or(0, |l| l.admission);
-            let elect = image.election(&g.name).map(|e| (e.epoch, e.start_position())).unwrap_or_default();
-            (g.name.clone(), lead, turn, elect)
+            let Some(group) = image.group_of(server) else { return };
+            let lease =
+                view.primary_leases.get(&group.name).filter(|l| l.server == server && now < l.valid_until).cloned();
+            let admission = image.log(server).map_or(0, |l| l.admission);
+            let election = image.election(&group.name).map(|e| (e.epoch, e.start_position())).unwrap_or_default();
+            (group.name.clone(), lease, admission, election)
         };
-        let known =
-            self.primary_positions.borrow().get(&group).and_then(|h| h.iter().rev().find(|x| x.0 <= asked).copied());
+        let known_head = self
+            .primary_positions
+            .borrow()
+            .get(&group)
+            .and_then(|h| h.iter().rev().find(|x| x.0 <= requested_at).copied());
         {
-            let mut sights = self.observations.borrow_mut();
-            let s = sights.entry(server.into()).or_default();
-            // Only an answer asked for after the newest one came can show that the log lost something.
-            let later = s.last_response_at.is_none_or(|t| asked >= t);
-            let other = s.log_id != log && s.log_id != 0;
-            if later && !self.keep_highest_position && (other || s.position.has_lost_entries(place, elect.0, elect.1)) {
-                self.env.log(Component::Pool, format!("{server} went back to {place} in its log"));
-                s.lost_at_admission = Some(turn);
-                s.position = place;
-                s.awaited_position = Position::default();
-            } else if later && place.epoch >= s.position.epoch && !self.keep_highest_position {
-                s.position = place;
+            let mut observations = self.observations.borrow_mut();
+            let observation = observations.entry(server.into()).or_default();
+            // Only a response that was requested after the newest one arrived can show that the log lost entries.
+            let is_later = observation.last_response_at.is_none_or(|t| requested_at >= t);
+            let other_log = observation.log_id != log_id && observation.log_id != 0;
+            if is_later
+                && !self.keep_highest_position
+                && (other_log || observation.position.has_lost_entries(position, election.0, election.1))
+            {
+                self.env.log(Component::Pool, format!("{server} went back to {position} in its log"));
+                observation.lost_at_admission = Some(admission);
+                observation.position = position;
+                observation.awaited_position = Position::default();
+            } else if is_later && position.epoch >= observation.position.epoch && !self.keep_highest_position {
+                observation.position = position;
             } else {
-                s.position = s.position.max(place);
+                observation.position = observation.position.max(position);
             }
-            if later {
-                s.log_id = log;
+            if is_later {
+                observation.log_id = log_id;
             }
-            s.last_response_at = Some(s.last_response_at.map_or(now, |t| t.max(now)));
-            s.failed_reads = 0;
-            s.refused_connections = 0;
-            if let Some((_, head)) = known {
-                s.lag = lag(head, place, elect.1);
+            observation.last_response_at = Some(observation.last_response_at.map_or(now, |t| t.max(now)));
+            observation.failed_reads = 0;
+            observation.refused_connections = 0;
+            if let Some((_, head)) = known_head {
+                observation.lag = lag(head, position, election.1);
             }
         }
-        // A leader whose log lost something tells of no head.
-        if lead.is_some_and(|l| l.epoch == place.epoch) && (self.counts_as_copy(server) || self.keep_highest_position) {
-            self.record_primary_position(group, asked, place);
+        // The position of a primary whose log lost entries is not used as the group's head.
+        if lease.is_some_and(|l| l.epoch == position.epoch)
+            && (self.counts_as_copy(server) || self.keep_highest_position)
+        {
+            self.record_primary_position(group, requested_at, position);
         }
         self.position_changed.notify_waiters();
     }
 
-    /// A group's leader showed this place when asked at `asked`.
-    fn record_primary_position(&self, group: String, asked: Duration, place: Position) {
-        let mut heads = self.primary_positions.borrow_mut();
-        let list = heads.entry(group).or_default();
-        // One reading for each small step of time is enough to find a fresh one.
-        let step = self.bounds.borrow().sampling_interval() / 4;
-        if list.back().is_none_or(|b| asked >= b.0 + step) {
-            list.push_back((asked, place));
-            if list.len() > MAX_PRIMARY_POSITIONS {
-                list.pop_front();
+    /// Records the position that a group's primary showed for a request sent at `requested_at`.
+    fn record_primary_position(&self, group: String, requested_at: Duration, position: Position) {
+        let mut primary_positions = self.primary_positions.borrow_mut();
+        let positions = primary_positions.entry(group).or_default();
+        // One position per quarter of the sampling interval is enough to find a recent one.
+        let min_distance = self.bounds.borrow().sampling_interval() / 4;
+        if positions.back().is_none_or(|newest| requested_at >= newest.0 + min_distance) {
+            positions.push_back((requested_at, position));
+            if positions.len() > MAX_PRIMARY_POSITIONS {
+                positions.pop_front();
             }
         }
     }
 
-    /// Something was sent to a server in the users' manner.
+    /// Records that a request was sent to a server of a group that confirms commits.
     pub fn record_sent(&self, server: &str) {
         let now = self.env.now();
-        let mut sights = self.observations.borrow_mut();
-        let s = sights.entry(server.into()).or_default();
-        s.pending_since = s.pending_since.or(Some(now));
+        let mut observations = self.observations.borrow_mut();
+        let observation = observations.entry(server.into()).or_default();
+        observation.pending_since = observation.pending_since.or(Some(now));
     }
 
-    /// Nothing is asked of a server any more.
+    /// Forgets unanswered requests to a server, as no further ones are sent.
     pub fn clear_pending(&self, server: &str) {
-        if let Some(s) = self.observations.borrow_mut().get_mut(server) {
-            s.pending_since = None;
+        if let Some(observation) = self.observations.borrow_mut().get_mut(server) {
+            observation.pending_since = None;
         }
     }
 
-    /// A server in the users' manner answered what was sent at `asked`, and showed this place.
-    pub fn record_response(&self, server: &str, asked: Duration, place: Option<Position>) {
+    /// Records the response of a server of a group that confirms commits: to a request sent at `requested_at`, with the
+    /// position it showed, if any.
+    pub fn record_response(&self, server: &str, requested_at: Duration, position: Option<Position>) {
         let now = self.env.now();
         {
-            let mut sights = self.observations.borrow_mut();
-            let s = sights.entry(server.into()).or_default();
-            s.pending_since = None;
-            s.failed_reads = 0;
-            s.refused_connections = 0;
-            let Some(place) = place else { return };
-            if s.last_response_at.is_none_or(|t| asked >= t) {
-                s.position = place;
+            let mut observations = self.observations.borrow_mut();
+            let observation = observations.entry(server.into()).or_default();
+            observation.pending_since = None;
+            observation.failed_reads = 0;
+            observation.refused_connections = 0;
+            let Some(position) = position else { return };
+            if observation.last_response_at.is_none_or(|t| requested_at >= t) {
+                observation.position = position;
             }
-            s.last_response_at = Some(now);
+            observation.last_response_at = Some(now);
         }
-        let Some(place) = place else { return };
-        let (group, leads, from) = {
+        let Some(position) = position else { return };
+        let (group, is_primary, epoch_start) = {
             let view = self.journal.view();
-            let Some(g) = view.image.as_ref().and_then(|i| i.group_of(server)) else { return };
-            // A head is one that was read while no other's commit could be acknowledged.
-            let lead = view
+            let Some(group) = view.image.as_ref().and_then(|i| i.group_of(server)) else { return };
+            // A position is the group's head only if no other primary's commit could be acknowledged when it was read.
+            let lease = view
                 .primary_leases
-                .get(&g.name)
-                .filter(|l| l.server == server && now < l.valid_until && asked >= l.held_since);
-            (g.name.clone(), lead.is_some(), Position::default())
+                .get(&group.name)
+                .filter(|l| l.server == server && now < l.valid_until && requested_at >= l.held_since);
+            (group.name.clone(), lease.is_some(), Position::default())
         };
-        let known =
-            self.primary_positions.borrow().get(&group).and_then(|h| h.iter().rev().find(|x| x.0 <= asked).copied());
-        if let (Some((_, head)), Some(s)) = (known, self.observations.borrow_mut().get_mut(server)) {
-            s.lag =
-                if place.epoch < head.epoch { head.index.saturating_sub(place.index) } else { lag(head, place, from) };
+        let known_head = self
+            .primary_positions
+            .borrow()
+            .get(&group)
+            .and_then(|h| h.iter().rev().find(|x| x.0 <= requested_at).copied());
+        if let (Some((_, head)), Some(observation)) = (known_head, self.observations.borrow_mut().get_mut(server)) {
+            observation.lag = if position.epoch < head.epoch {
+                head.index.saturating_sub(position.index)
+            } else {
+                lag(head, position, epoch_start)
+            };
         }
-        if leads {
-            self.record_primary_position(group, asked, place);
+        if is_primary {
+            self.record_primary_position(group, requested_at, position);
         }
         self.position_changed.notify_waiters();
     }
 
-    /// Forgets servers and groups that the newest image no longer names.
+    /// Removes servers and groups that are not in the newest image.
     fn remove_unknown(&self, image: &Image) {
         self.observations.borrow_mut().retain(|server, _| image.group_including_leaving(server).is_some());
         self.primary_positions.borrow_mut().retain(|group, _| image.groups.iter().any(|g| g.name == *group));
     }
 
-    /// How many servers, groups and lists something is kept of.
+    /// The numbers of observed servers, of groups with primary positions, and of lists.
     pub fn entry_counts(&self) -> [usize; 3] {
         [self.observations.borrow().len(), self.primary_positions.borrow().len(), self.lists.borrow().len()]
     }
 
-    /// The oldest reading of the group's head that was asked for at `from` or later.
+    /// The oldest position of the group's primary that was requested at `from` or later, with the time of its request.
     pub fn primary_position_since(&self, group: &str, from: Duration) -> Option<(Duration, Position)> {
         self.primary_positions.borrow().get(group)?.iter().find(|h| h.0 >= from).copied()
     }
@@ -298,33 +323,42 @@
         self.observations.borrow().get(server).cloned().unwrap_or_default()
     }
 
-    /// How far a server is behind its group's head; one that shows nothing any more falls back as the head goes on.
+    /// How many entries a server is behind its group's primary. For a server without recent responses, the lag grows as the
+    /// primary proceeds.
     pub fn lag(&self, group: &str, server: &str) -> u64 {
-        let s = self.observation(server);
-        let fresh = self.env.now().saturating_sub(self.bounds.borrow().sampling_interval() * 3);
-        if s.last_response_at.is_some_and(|t| t > fresh) {
-            return s.lag;
+        let observation = self.observation(server);
+        let recent = self.env.now().saturating_sub(self.bounds.borrow().sampling_interval() * 3);
+        if observation.last_response_at.is_some_and(|t| t > recent) {
+            return observation.lag;
         }
-        let heads = self.primary_positions.borrow();
-        let Some(head) = heads.get(group).and_then(|h| h.back()).map(|h| h.1) else { return s.lag };
+        let primary_positions = self.primary_positions.borrow();
+        let Some(head) = primary_positions.get(group).and_then(|h| h.back()).map(|h| h.1) else {
+            return observation.lag;
+        };
         let view = self.journal.view();
-        let from = view.image.as_ref().and_then(|i| i.election(group)).map(|e| e.start_position()).unwrap_or_default();
-        s.lag.max(lag(head, s.position, from))
+        let epoch_start =
+            view.image.as_ref().and_then(|i| i.election(group)).map(|e| e.start_position()).unwrap_or_default();
+        observation.lag.max(lag(head, observation.position, epoch_start))
     }
 
-    /// Whether what a server shows counts towards a commit's second copy.
+    /// Whether a server's log counts as a copy of a commit: it is complete, has the expected identity, and was not seen to
+    /// lose entries since its admission.
     pub fn counts_as_copy(&self, server: &str) -> bool {
-        let s = self.observation(server);
+        let observation = self.observation(server);
         let view = self.journal.view();
         let entry = view.image.as_ref().and_then(|i| i.log(server));
-        entry.is_some_and(|l| {
-            !l.incomplete && l.log_id == s.log_id && s.lost_at_admission.is_none_or(|t| l.admission > t)
+        entry.is_some_and(|log| {
+            !log.incomplete
+                && log.log_id == observation.log_id
+                && observation.lost_at_admission.is_none_or(|admission| log.admission > admission)
         })
     }
 
-    /// Whether a server shows a position, on its line or a later one.
-    pub fn has_position(&self, server: &str, place: Position) -> bool {
-        let s = self.observations.borrow();
-        s.get(server).is_some_and(|s| s.position.epoch >= place.epoch && s.position.index >= place.index)
+    /// Whether a server showed this position or a later one, on the same epoch or a later one.
+    pub fn has_position(&self, server: &str, position: Position) -> bool {
+        let observations = self.observations.borrow();
+        observations
+            .get(server)
+            .is_some_and(|o| o.position.epoch >= position.epoch && o.position.index >= position.index)
     }
 }
--- a/spoke/src/pool/slot.rs
+++ b/spoke/src/pool/slot.rs
@@ -1,3 +1,5 @@
+//! The right to use one connection of a pool, and the calls on that connection.
+
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use base::{
@@ -11,13 +13,13 @@
 
 use super::{AppliedState, ConnectionKind, Pool, PooledConnection, StateOwner};
 
-/// The largest body a server may answer with.
+/// The largest body of a server's response.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// How many prepared statements a connection keeps before it forgets them all.
+/// How many prepared statements a connection keeps; beyond that the connection is reset before its next statement.
 const MAX_PREPARED_NAMES: usize = 64;
 
-/// The right to one connection; gives it back when dropped.
+/// The right to use one connection. Dropping it returns the connection to the pool, or closes it if it is tainted.
 pub struct Slot {
     pool: Rc<Pool>,
     connection: Option<PooledConnection>,
@@ -25,39 +27,39 @@
 }
 
 impl Slot {
-    pub(super) fn new(pool: &Rc<Pool>, conn: Option<PooledConnection>) -> Self {
+    pub(super) fn new(pool: &Rc<Pool>, connection: Option<PooledConnection>) -> Self {
         pool.in_use.set(pool.in_use.get() + 1);
         pool.peak_in_use.set(pool.peak_in_use.get().max(pool.in_use.get()));
-        Self { pool: pool.clone(), connection: conn, tainted: false }
+        Self { pool: pool.clone(), connection, tainted: false }
     }
 
-    /// The server it leads to.
+    /// The name of the connection's server.
     pub fn server(&self) -> &str {
         &self.pool.server
     }
 
-    pub(super) async fn connect(&mut self, due: Duration) -> Result<(), ErrorKind> {
+    pub(super) async fn connect(&mut self, deadline: Duration) -> Result<(), ErrorKind> {
         if self.connection.is_some() {
             return Ok(());
         }
-        let span = due.saturating_sub(self.pool.env.now());
-        if let Some((manner, group)) = &self.pool.protocol {
-            let line = manner.open(&self.pool.env, self.pool.addr, group, &self.pool.server);
+        let timeout = deadline.saturating_sub(self.pool.env.now());
+        if let Some((protocol, group)) = &self.pool.protocol {
+            let opening = protocol.open(&self.pool.env, self.pool.addr, group, &self.pool.server);
             if self.pool.connecting_since.get().is_none() {
                 self.pool.connecting_since.set(Some(self.pool.env.now()));
             }
-            return match self.pool.env.timeout(span.min(self.pool.connect_timeout), line).await {
-                Ok(Ok(line)) => {
+            return match self.pool.env.timeout(timeout.min(self.pool.connect_timeout), opening).await {
+                Ok(Ok(connection)) => {
                     self.pool.connecting_since.set(None);
                     self.pool.opened.set(self.pool.opened.get() + 1);
                     self.connection = Some(PooledConnection {
-                        link: ConnectionKind::Protocol(line, AppliedState::default()),
+                        link: ConnectionKind::Protocol(connection, AppliedState::default()),
                         state_owner: None,
                         idle_since: Duration::ZERO,
                     });
                     Ok(())
                 }
-                // One that is there and takes no session lives, and is full.
+                // A server that can be reached but accepts no session is alive, and full.
                 Ok(Err(CallError::OutcomeUnknown)) => {
                     self.pool.connecting_since.set(None);
                     Err(ErrorKind::Overloaded)
@@ -65,11 +67,11 @@
                 _ => Err(ErrorKind::NoServer),
             };
         }
-        match Client::connect(&self.pool.env, self.pool.addr, span, MAX_RESPONSE_BYTES).await {
-            Ok(line) => {
+        match Client::connect(&self.pool.env, self.pool.addr, timeout, MAX_RESPONSE_BYTES).await {
+            Ok(client) => {
                 self.pool.opened.set(self.pool.opened.get() + 1);
                 self.connection = Some(PooledConnection {
-                    link: ConnectionKind::Http(line),
+                    link: ConnectionKind::Http(client),
                     state_owner: None,
                     idle_since: Duration::ZERO,
                 });
@@ -79,66 +81,77 @@
         }
     }
 
-    /// Never to be used again, as its clean state can't be shown.
+    /// Marks the connection as not to be reused, because its state is not known to be clean.
     pub fn taint(&mut self) {
         self.tainted = true;
     }
 
-    /// Attempts one statement; without an answer the connection is never used again.
+    /// Makes one HTTP request. Without a response the connection is not reused.
+    ///
+    /// # Errors
+    /// `NotSent` if no byte of the request was sent, `OutcomeUnknown` if the server may have executed it.
     pub async fn call(
         &mut self,
         path: &str,
-        head: &[(&str, String)],
+        headers: &[(&str, String)],
         body: Bytes,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<HttpResponse, CallError> {
-        let span = due.saturating_sub(self.pool.env.now());
-        let Some(PooledConnection { link: ConnectionKind::Http(line), .. }) = &mut self.connection else {
+        let timeout = deadline.saturating_sub(self.pool.env.now());
+        let Some(PooledConnection { link: ConnectionKind::Http(client), .. }) = &mut self.connection else {
             return Err(CallError::NotSent);
         };
         let method = if path.starts_with(backend::POSITION_PATH) { "GET" } else { "POST" };
-        // Spoilt until answered: a task dropped half-way leaves a connection in an unknown state.
-        let was = std::mem::replace(&mut self.tainted, true);
-        let out = line.call(method, path, head, body, span).await?;
-        self.tainted = was || out.close;
-        Ok(out)
+        // Tainted until the response arrives: a task dropped in between leaves the connection in an unknown state.
+        let was_tainted = std::mem::replace(&mut self.tainted, true);
+        let response = client.call(method, path, headers, body, timeout).await?;
+        self.tainted = was_tainted || response.close;
+        Ok(response)
     }
 
-    /// Says one statement in the users' manner; without a whole answer the connection is never used again.
+    /// Executes one statement on a protocol connection, where given only after the server has reached the position `after`.
+    /// Without a complete reply the connection is not reused.
+    ///
+    /// # Errors
+    /// As `call`; a timeout counts as `OutcomeUnknown`.
     pub async fn execute(
         &mut self,
-        said: &Statement,
+        statement: &Statement,
         after: Option<Position>,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<ServerReply, CallError> {
-        let span = due.saturating_sub(self.pool.env.now());
-        let Some(PooledConnection { link: ConnectionKind::Protocol(line, _), .. }) = &mut self.connection else {
+        let timeout = deadline.saturating_sub(self.pool.env.now());
+        let Some(PooledConnection { link: ConnectionKind::Protocol(connection, _), .. }) = &mut self.connection else {
             return Err(CallError::NotSent);
         };
-        let was = std::mem::replace(&mut self.tainted, true);
-        let out =
-            self.pool.env.timeout(span, line.execute(said, after)).await.map_err(|_| CallError::OutcomeUnknown)??;
-        self.tainted = was;
-        Ok(out)
+        let was_tainted = std::mem::replace(&mut self.tainted, true);
+        let reply = self
+            .pool
+            .env
+            .timeout(timeout, connection.execute(statement, after))
+            .await
+            .map_err(|_| CallError::OutcomeUnknown)??;
+        self.tainted = was_tainted;
+        Ok(reply)
     }
 
     fn applied_state(&mut self) -> Option<&mut AppliedState> {
         match &mut self.connection {
-            Some(PooledConnection { link: ConnectionKind::Protocol(_, w), .. }) => Some(w),
+            Some(PooledConnection { link: ConnectionKind::Protocol(_, applied), .. }) => Some(applied),
             _ => None,
         }
     }
 
-    /// A statement of the product's own that has to be done before the caller's can be.
+    /// Executes a statement of the node's own that has to succeed before the client's statement.
     async fn execute_internal(
         &mut self,
-        act: StatementKind,
+        kind: StatementKind,
         name: &str,
         text: &str,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<(), CallError> {
-        let said = Statement { name: name.into(), text: text.into(), ..Statement::internal(act) };
-        match self.execute(&said, None, due).await?.outcome {
+        let statement = Statement { name: name.into(), text: text.into(), ..Statement::internal(kind) };
+        match self.execute(&statement, None, deadline).await?.outcome {
             ServerOutcome::Done(_) => Ok(()),
             _ => {
                 self.taint();
@@ -147,82 +160,87 @@
         }
     }
 
-    /// Makes the connection wear exactly these session values, and know one prepared statement if there is one; gives
-    /// the name that it has here.
+    /// Applies exactly these session values to a protocol connection, and prepares the given statement (its text, and whether
+    /// it writes), if any. Returns the prepared statement's name on this connection, empty without one.
     pub async fn apply_session_values(
         &mut self,
         values: &BTreeMap<String, String>,
         prepared: Option<(&str, bool)>,
-        due: Duration,
+        deadline: Duration,
     ) -> Result<String, CallError> {
-        let Some(worn) = self.applied_state() else { return Err(CallError::NotSent) };
-        if worn.values.keys().any(|k| !values.contains_key(k)) || worn.prepared_names.len() > MAX_PREPARED_NAMES {
-            *worn = AppliedState::default();
-            self.execute_internal(StatementKind::ResetSession, "", "", due).await?;
+        let Some(applied) = self.applied_state() else { return Err(CallError::NotSent) };
+        if applied.values.keys().any(|k| !values.contains_key(k)) || applied.prepared_names.len() > MAX_PREPARED_NAMES {
+            *applied = AppliedState::default();
+            self.execute_internal(StatementKind::ResetSession, "", "", deadline).await?;
         }
-        for (k, v) in values {
-            if self.applied_state().is_some_and(|w| w.values.get(k) != Some(v)) {
-                self.execute_internal(StatementKind::Set, k, v, due).await?;
-                if let Some(w) = self.applied_state() {
-                    w.values.insert(k.clone(), v.clone());
+        for (name, value) in values {
+            if self.applied_state().is_some_and(|applied| applied.values.get(name) != Some(value)) {
+                self.execute_internal(StatementKind::Set, name, value, deadline).await?;
+                if let Some(applied) = self.applied_state() {
+                    applied.values.insert(name.clone(), value.clone());
                 }
             }
         }
         let Some((text, writes)) = prepared else { return Ok(String::new()) };
-        let Some(worn) = self.applied_state() else { return Err(CallError::NotSent) };
-        if let Some(n) = worn.prepared_names.get(text) {
-            return Ok(n.clone());
+        let Some(applied) = self.applied_state() else { return Err(CallError::NotSent) };
+        if let Some(name) = applied.prepared_names.get(text) {
+            return Ok(name.clone());
         }
-        let name = format!("n{}", worn.prepared_names.len());
-        self.execute_internal(StatementKind::Prepare { writes }, &name, text, due).await?;
-        if let Some(w) = self.applied_state() {
-            w.prepared_names.insert(text.into(), name.clone());
+        let name = format!("n{}", applied.prepared_names.len());
+        self.execute_internal(StatementKind::Prepare { writes }, &name, text, deadline).await?;
+        if let Some(applied) = self.applied_state() {
+            applied.prepared_names.insert(text.into(), name.clone());
         }
         Ok(name)
     }
 
-    /// Makes the connection wear exactly this session's state: wiped of any other, replayed where missing.
+    /// Applies exactly the state of this session to an HTTP connection: resets it if another state is applied, and executes
+    /// the session statements that are missing.
     pub async fn apply_session_statements(
         &mut self,
-        want: &StateOwner,
-        state: &[(Verb, Bytes)],
-        due: Duration,
+        owner: &StateOwner,
+        statements: &[(Verb, Bytes)],
+        deadline: Duration,
     ) -> Result<(), CallError> {
-        let has = self.connection.as_ref().and_then(|c| c.state_owner.clone());
-        let from = match &has {
+        let current = self.connection.as_ref().and_then(|c| c.state_owner.clone());
+        let first_missing = match &current {
             None => 0,
-            Some(h) if h.session == want.session && h.database == want.database && h.statements <= want.statements => {
-                h.statements
+            Some(current)
+                if current.session == owner.session
+                    && current.database == owner.database
+                    && current.statements <= owner.statements =>
+            {
+                current.statements
             }
             Some(_) => {
-                let out = self.call(backend::RESET_PATH, &[], Bytes::new(), due).await?;
-                if out.status >= 300 {
+                let response = self.call(backend::RESET_PATH, &[], Bytes::new(), deadline).await?;
+                if response.status >= 300 {
                     self.taint();
                     return Err(CallError::NotSent);
                 }
                 0
             }
         };
-        if let Some(c) = &mut self.connection {
-            c.state_owner = None;
+        if let Some(connection) = &mut self.connection {
+            connection.state_owner = None;
         }
-        for (verb, body) in &state[from..] {
-            let out = self.call(backend::statement_path(*verb), &[], body.clone(), due).await;
-            if !matches!(&out, Ok(o) if o.status < 300) {
+        for (verb, body) in &statements[first_missing..] {
+            let result = self.call(backend::statement_path(*verb), &[], body.clone(), deadline).await;
+            if !matches!(&result, Ok(response) if response.status < 300) {
                 self.taint();
                 return Err(CallError::NotSent);
             }
         }
-        if let Some(c) = &mut self.connection {
-            c.state_owner = (want.statements > 0).then(|| want.clone());
+        if let Some(connection) = &mut self.connection {
+            connection.state_owner = (owner.statements > 0).then(|| owner.clone());
         }
         Ok(())
     }
 
-    /// Notes that the connection now wears one more statement of the session.
-    pub fn set_state_owner(&mut self, dress: StateOwner) {
-        if let Some(c) = &mut self.connection {
-            c.state_owner = Some(dress);
+    /// Records the session whose state the connection has now, after one more of its session statements was executed.
+    pub fn set_state_owner(&mut self, owner: StateOwner) {
+        if let Some(connection) = &mut self.connection {
+            connection.state_owner = Some(owner);
         }
     }
 }
@@ -230,7 +248,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.pool.in_use.set(self.pool.in_use.get() - 1);
-        let conn = if self.tainted { None } else { self.connection.take() };
-        self.pool.release(conn);
+        let connection = if self.tainted { None } else { self.connection.take() };
+        self.pool.release(connection);
     }
 }
