--- a/spoke/src/http_endpoint/mod.rs
+++ b/spoke/src/http_endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP door of a spoke: callers, operators, servers, status.
+//! The HTTP endpoint of a node, for clients, operators, servers' reports and status pages.
 
 mod status;
 
@@ -16,7 +16,7 @@
 
 pub use status::StatusPages;
 
-/// One connection: a caller's session, or an operator or server passing by.
+/// One connection: a client's session, or requests of an operator or a server.
 pub struct NodeConnection {
     pub session: HttpSession,
     pub relay: Rc<Relay>,
@@ -24,21 +24,21 @@
 }
 
 impl RequestHandler for NodeConnection {
-    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
-        let path = ask.path.split('?').next().unwrap_or("");
+    fn handle(&self, request: HttpRequest) -> LocalFuture<HttpResponse> {
+        let path = request.path.split('?').next().unwrap_or("");
         if path.starts_with("/db/") {
-            return self.session.handle(ask);
+            return self.session.handle(request);
         }
-        if ask.method == hyper::Method::GET
-            && let Some(out) = self.status_pages.page(path)
+        if request.method == hyper::Method::GET
+            && let Some(page) = self.status_pages.page(path)
         {
-            return Box::pin(async move { out });
+            return Box::pin(async move { page });
         }
-        if !matches!(ask.path_segments()[..], ["ops", ..] | ["report"]) {
+        if !matches!(request.path_segments()[..], ["ops", ..] | ["report"]) {
             return Box::pin(async { error_response(ErrorKind::NoPath, "", None) });
         }
         let relay = self.relay.clone();
-        Box::pin(async move { relay.forward(ask).await })
+        Box::pin(async move { relay.forward(request).await })
     }
 
     fn can_close(&self) -> bool {
--- a/spoke/src/http_endpoint/status.rs
+++ b/spoke/src/http_endpoint/status.rs
@@ -1,3 +1,5 @@
+//! The status pages and metrics of a node.
+
 use std::{rc::Rc, time::Duration};
 
 use base::{http::HttpResponse, loop_lag::LoopLag, metrics, strict};
@@ -7,7 +9,7 @@
 use crate::execution::ExecutionContext;
 
 strict! {
-    /// A spoke's state in short.
+    /// The node's state: the body of `/status`.
     pub struct Status {
         pub name: String,
         pub area: String,
@@ -27,7 +29,7 @@
 }
 
 strict! {
-    /// A leader grant.
+    /// A primary lease. `left_ms` is the remaining validity.
     pub struct PrimaryLeaseRow {
         pub group: String,
         pub server: String,
@@ -37,7 +39,7 @@
 }
 
 strict! {
-    /// The connections to one server.
+    /// The connections to one server, and the server's state.
     pub struct PoolRow {
         pub server: String,
         pub share: u64,
@@ -69,7 +71,7 @@
 }
 
 strict! {
-    /// A standing list with the weights inside it.
+    /// The eligible set of a database, with the weights of its servers.
     pub struct SelectionListRow {
         pub database: String,
         pub kind: String,
@@ -96,7 +98,7 @@
 }
 
 strict! {
-    /// How a server fared.
+    /// The decision about one server in an evaluation, with the metrics it is based on.
     pub struct ServerDecisionRow {
         pub server: String,
         pub eligible: bool,
@@ -112,23 +114,23 @@
     }
 }
 
-/// Answers what operators look at on this very node.
+/// Serves the pages that describe the node itself.
 pub struct StatusPages {
     pub context: Rc<ExecutionContext>,
     pub relay: Rc<Relay>,
     pub loop_lag: Rc<LoopLag>,
 }
 
-fn json(out: &impl SerJson) -> HttpResponse {
-    HttpResponse::new(200, out.serialize_json()).with_header("content-type", "application/json")
+fn json(body: &impl SerJson) -> HttpResponse {
+    HttpResponse::new(200, body.serialize_json()).with_header("content-type", "application/json")
 }
 
-fn ms(d: Duration) -> u64 {
-    d.as_millis() as u64
+fn ms(duration: Duration) -> u64 {
+    duration.as_millis() as u64
 }
 
 impl StatusPages {
-    /// The page of a path, if it is one of this node's own.
+    /// The page at a path; `None` if the path is not a status page.
     pub fn page(&self, path: &str) -> Option<HttpResponse> {
         match path {
             "/status" => Some(json(&self.status())),
@@ -140,14 +142,14 @@
     }
 
     fn counts(&self) -> Counts {
-        let t = &self.context.counters;
+        let counters = &self.context.counters;
         Counts {
-            reads: t.reads.get(),
-            writes: t.writes.get(),
-            refused: t.refused.get(),
-            unknown: t.unknown.get(),
-            retried: t.retried.get(),
-            sessions: t.sessions.get(),
+            reads: counters.reads.get(),
+            writes: counters.writes.get(),
+            refused: counters.refused.get(),
+            unknown: counters.unknown.get(),
+            retried: counters.retried.get(),
+            sessions: counters.sessions.get(),
             evaluations: self.context.health.evaluation_count.get(),
             readings: self.context.health.position_reads.get(),
             corrupt: self.relay.corrupt_frames.get(),
@@ -157,43 +159,43 @@
 
     fn status(&self) -> Status {
         let now = self.context.env.now();
-        let admit = self.context.router.check_admission();
+        let admission = self.context.router.check_admission();
         let view = self.context.journal.view();
         let (parent, depth) = self.relay.tree_position();
-        let leads = view.primary_leases.iter().map(|(g, l)| PrimaryLeaseRow {
-            group: g.clone(),
-            server: l.server.clone(),
-            line: l.epoch,
-            left_ms: ms(l.valid_until.saturating_sub(now)),
+        let leases = view.primary_leases.iter().map(|(group, lease)| PrimaryLeaseRow {
+            group: group.clone(),
+            server: lease.server.clone(),
+            line: lease.epoch,
+            left_ms: ms(lease.valid_until.saturating_sub(now)),
         });
-        let pools = self.context.pools.all().into_iter().map(|(name, p)| {
-            let s = view.servers.get(&name).cloned().unwrap_or_default();
-            let x = self.context.health.observation(&name);
+        let pools = self.context.pools.all().into_iter().map(|(name, pool)| {
+            let state = view.servers.get(&name).cloned().unwrap_or_default();
+            let observation = self.context.health.observation(&name);
             PoolRow {
                 server: name,
-                share: p.limit() as u64,
-                open: p.open() as u64,
-                used: p.in_use() as u64,
-                waiting: p.waiting() as u64,
-                lag: x.lag,
-                position: x.position.to_string(),
-                draining: s.draining_since.is_some(),
-                gone: s.gone_since.is_some(),
-                cold: s.cold,
+                share: pool.limit() as u64,
+                open: pool.open() as u64,
+                used: pool.in_use() as u64,
+                waiting: pool.waiting() as u64,
+                lag: observation.lag,
+                position: observation.position.to_string(),
+                draining: state.draining_since.is_some(),
+                gone: state.gone_since.is_some(),
+                cold: state.cold,
             }
         });
         Status {
             name: self.relay.identity.name.clone(),
             area: self.relay.identity.zone.clone(),
-            serving: admit.is_ok(),
-            why: admit.err().map(|k| k.to_string()).unwrap_or_default(),
+            serving: admission.is_ok(),
+            why: admission.err().map(|k| k.to_string()).unwrap_or_default(),
             sequence: view.image.as_ref().map_or(0, |i| i.sequence),
             confirmed_ms: view.confirmed_at.map(|c| ms(now.saturating_sub(c))),
             fed: self.relay.reaches_leader(),
             parent,
             depth: u64::from(depth),
             children: self.relay.children(),
-            leads: leads.collect(),
+            leads: leases.collect(),
             emptied: view.evacuated_since.keys().cloned().collect(),
             pools: pools.collect(),
             counts: self.counts(),
@@ -201,30 +203,35 @@
     }
 
     fn metrics(&self) -> HttpResponse {
-        let c = self.counts();
-        let news = &self.relay.snapshot_counters;
-        let mut out = metrics::page(&[
-            ("reads_total", "counter", "reads asked for", c.reads),
-            ("writes_total", "counter", "writes asked for outside transactions", c.writes),
-            ("refused_total", "counter", "requests refused with a time to come back", c.refused),
-            ("unknown_total", "counter", "writes whose outcome can't be told", c.unknown),
-            ("retried_total", "counter", "statements sent again elsewhere", c.retried),
-            ("sessions_total", "counter", "sessions opened", c.sessions),
-            ("evaluations_total", "counter", "evaluations of the selection policy, all lists together", c.evaluations),
-            ("readings_total", "counter", "log positions asked for", c.readings),
-            ("corrupt_frames_total", "counter", "links closed on a corrupt frame", c.corrupt),
-            ("relayed_frames_total", "counter", "frames handed on for others", c.relayed),
-            ("news_whole_total", "counter", "news that came whole", news.whole.get()),
-            ("news_whole_bytes_total", "counter", "bytes of news that came whole", news.whole_bytes.get()),
-            ("news_deltas_total", "counter", "news that came as a delta", news.deltas.get()),
-            ("news_delta_bytes_total", "counter", "bytes of news that came as deltas", news.delta_bytes.get()),
+        let counts = self.counts();
+        let snapshots = &self.relay.snapshot_counters;
+        let mut response = metrics::page(&[
+            ("reads_total", "counter", "reads asked for", counts.reads),
+            ("writes_total", "counter", "writes asked for outside transactions", counts.writes),
+            ("refused_total", "counter", "requests refused with a time to come back", counts.refused),
+            ("unknown_total", "counter", "writes whose outcome can't be told", counts.unknown),
+            ("retried_total", "counter", "statements sent again elsewhere", counts.retried),
+            ("sessions_total", "counter", "sessions opened", counts.sessions),
+            (
+                "evaluations_total",
+                "counter",
+                "evaluations of the selection policy, all lists together",
+                counts.evaluations,
+            ),
+            ("readings_total", "counter", "log positions asked for", counts.readings),
+            ("corrupt_frames_total", "counter", "links closed on a corrupt frame", counts.corrupt),
+            ("relayed_frames_total", "counter", "frames handed on for others", counts.relayed),
+            ("news_whole_total", "counter", "news that came whole", snapshots.whole.get()),
+            ("news_whole_bytes_total", "counter", "bytes of news that came whole", snapshots.whole_bytes.get()),
+            ("news_deltas_total", "counter", "news that came as a delta", snapshots.deltas.get()),
+            ("news_delta_bytes_total", "counter", "bytes of news that came as deltas", snapshots.delta_bytes.get()),
             (
                 "news_mismatches_total",
                 "counter",
                 "deltas that did not lead to what was published",
-                news.mismatches.get(),
+                snapshots.mismatches.get(),
             ),
-            ("news_requests_total", "counter", "requests to the parent for the whole news", news.requests.get()),
+            ("news_requests_total", "counter", "requests to the parent for the whole news", snapshots.requests.get()),
             (
                 "parent_searches_failed_total",
                 "counter",
@@ -240,7 +247,7 @@
             ("loop_lag_ms", "gauge", "how late tasks ran when last measured", ms(self.loop_lag.newest())),
             ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", ms(self.loop_lag.worst())),
         ]);
-        let mut text = String::from_utf8_lossy(&out.body).into_owned();
+        let mut text = String::from_utf8_lossy(&response.body).into_owned();
         for (what, help) in [
             ("share", "connections this node may open"),
             ("open", "connections open"),
@@ -249,10 +256,11 @@
         ] {
             text.push_str(&metrics::header_lines(&format!("connections_{what}"), "gauge", help));
         }
-        for (name, p) in self.context.pools.all() {
-            for (what, n) in [("share", p.limit()), ("open", p.open()), ("used", p.in_use()), ("waiting", p.waiting())]
+        for (name, pool) in self.context.pools.all() {
+            for (what, count) in
+                [("share", pool.limit()), ("open", pool.open()), ("used", pool.in_use()), ("waiting", pool.waiting())]
             {
-                text.push_str(&format!("portspoke_connections_{what}{{server=\"{name}\"}} {n}\n"));
+                text.push_str(&format!("portspoke_connections_{what}{{server=\"{name}\"}} {count}\n"));
             }
         }
         text.push_str(&metrics::header_lines(
@@ -263,17 +271,17 @@
         for (what, count) in self.entry_counts() {
             text.push_str(&format!("portspoke_kept_entries{{of=\"{what}\"}} {count}\n"));
         }
-        out.body = text.into();
-        out
+        response.body = text.into();
+        response
     }
 
-    /// How many entries are kept under names that may come and go.
+    /// The sizes of the collections whose keys are names of servers, groups, zones or routes, which may come and go.
     fn entry_counts(&self) -> [(&'static str, usize); 9] {
         let view = self.context.journal.view();
-        let [sights, heads, lists] = self.context.health.entry_counts();
+        let [observations, primary_positions, lists] = self.context.health.entry_counts();
         [
-            ("sights", sights),
-            ("heads", heads),
+            ("sights", observations),
+            ("heads", primary_positions),
             ("lists", lists),
             ("servers", view.servers.len()),
             ("shares", view.shares.len()),
@@ -286,47 +294,53 @@
 
     fn lists(&self) -> Vec<SelectionListRow> {
         let lists = self.context.health.lists.borrow();
-        let row = |((database, kind), l): (&crate::health::ListKey, &crate::health::SelectionList)| SelectionListRow {
-            database: database.clone(),
-            kind: kind.clone(),
-            eligible: l.eligible.set().map(<[_]>::to_vec).unwrap_or_default(),
-            weights: l.weights.iter().map(|(s, w)| WeightRow { server: s.clone(), weight: *w }).collect(),
-        };
+        let row =
+            |((database, kind), list): (&crate::health::ListKey, &crate::health::SelectionList)| SelectionListRow {
+                database: database.clone(),
+                kind: kind.clone(),
+                eligible: list.eligible.set().map(<[_]>::to_vec).unwrap_or_default(),
+                weights: list
+                    .weights
+                    .iter()
+                    .map(|(server, weight)| WeightRow { server: server.clone(), weight: *weight })
+                    .collect(),
+            };
         lists.iter().map(row).collect()
     }
 
     fn journal(&self) -> Vec<String> {
         let now = self.context.env.now();
         let lines = self.context.journal.lines();
-        lines.into_iter().map(|(t, l)| format!("{} ms ago: {l}", ms(now.saturating_sub(t)))).collect()
+        lines.into_iter().map(|(at, line)| format!("{} ms ago: {line}", ms(now.saturating_sub(at)))).collect()
     }
 
-    /// The ring of past decisions of a database (`NAME` or `NAME/KIND`), newest first.
+    /// The past evaluations of a database's list (`NAME` or `NAME/KIND`), newest first.
     fn decisions(&self, name: &str) -> Vec<DecisionRow> {
         let now = self.context.env.now();
         let (name, kind) = name.split_once('/').unwrap_or((name, "*"));
         let lists = self.context.health.lists.borrow();
         let Some(list) = lists.get(&(name.to_string(), kind.to_string())) else { return Vec::new() };
-        let verdict = |v: &pick::ServerDecision| ServerDecisionRow {
-            server: v.name.clone(),
-            eligible: v.eligible,
-            why: v.reason.as_str().into(),
-            error_rate: v.metrics.error_rate,
-            errors_total: v.metrics.errors_total,
-            requests_total: v.metrics.requests_total,
-            throttled_rate: v.metrics.throttled_rate,
-            p90: v.metrics.p90,
-            p95: v.metrics.p95,
-            p99: v.metrics.p99,
-            lag: v.metrics.lag,
+        let server_row = |server: &pick::ServerDecision| ServerDecisionRow {
+            server: server.name.clone(),
+            eligible: server.eligible,
+            why: server.reason.as_str().into(),
+            error_rate: server.metrics.error_rate,
+            errors_total: server.metrics.errors_total,
+            requests_total: server.metrics.requests_total,
+            throttled_rate: server.metrics.throttled_rate,
+            p90: server.metrics.p90,
+            p95: server.metrics.p95,
+            p99: server.metrics.p99,
+            lag: server.metrics.lag,
         };
-        let rows: Vec<_> = list.eligible.ring().collect();
-        rows.into_iter()
+        let decisions: Vec<_> = list.eligible.ring().collect();
+        decisions
+            .into_iter()
             .rev()
-            .map(|d| DecisionRow {
-                ago_ms: ms(now.saturating_sub(d.at)),
-                fault: d.error.clone(),
-                servers: d.servers.iter().map(verdict).collect(),
+            .map(|decision| DecisionRow {
+                ago_ms: ms(now.saturating_sub(decision.at)),
+                fault: decision.error.clone(),
+                servers: decision.servers.iter().map(server_row).collect(),
             })
             .collect()
     }
--- a/spoke/src/lib.rs
+++ b/spoke/src/lib.rs
@@ -1,4 +1,5 @@
-//! The data plane: callers' sessions, shared connections, reads by the standing list, writes by the leader grant.
+//! The data plane: client sessions, pooled connections to the servers, reads from the eligible set, and writes to the
+//! primary under a lease.
 
 mod execution;
 mod health;
--- a/spoke/src/on_platform.rs
+++ b/spoke/src/on_platform.rs
@@ -1,4 +1,4 @@
-//! A spoke with the doors of the users' platform.
+//! A node with the endpoints of the platform protocol.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,72 +14,87 @@
 
 use crate::{DisabledGuards, Node, run_with_protocol};
 
-/// A spoke that serves callers in the users' manner.
+/// A node that serves clients over the platform protocol.
 pub struct PlatformSpoke {
     env: Env,
     pub node: Node,
     endpoint: Endpoint,
+    /// How long shutting down may take.
     grace: Duration,
     _tree: Supervisor,
 }
 
 async fn bind(env: &Env, addr: SocketAddr) -> io::Result<http::ListenerSlot> {
-    let told = |e: io::Error| io::Error::new(e.kind(), format!("{addr}: {e}"));
-    Ok(Rc::new(RefCell::new(Some(env.listen(addr).await.map_err(told)?))))
+    let with_address = |e: io::Error| io::Error::new(e.kind(), format!("{addr}: {e}"));
+    Ok(Rc::new(RefCell::new(Some(env.listen(addr).await.map_err(with_address)?))))
 }
 
-/// Wakes the door's sessions when this node can no longer do anything for them.
+/// Notifies the endpoint's sessions when this node is no longer ready to serve, so that idle ones are closed.
 async fn close_idle_when_not_ready(
     env: Env,
-    door: Endpoint,
+    endpoint: Endpoint,
     host: Rc<dyn SessionProvider>,
-    step: Duration,
+    interval: Duration,
 ) -> Result<(), std::convert::Infallible> {
-    let mut was = false;
+    let mut was_ready = false;
     loop {
-        let is = host.is_ready();
-        if was && !is {
-            env.log(Component::Door, "nothing can be served here now; sessions that rest are closed");
-            door.state_changed.notify_waiters();
+        let is_ready = host.is_ready();
+        if was_ready && !is_ready {
+            env.log(Component::Door, "nothing can be served here now; closing idle sessions");
+            endpoint.state_changed.notify_waiters();
         }
-        was = is;
-        env.sleep(step).await;
+        was_ready = is_ready;
+        env.sleep(interval).await;
     }
 }
 
+/// How many connections the readiness endpoint accepts at a time.
+const MAX_PROBE_CONNECTIONS: usize = 64;
+/// The largest request body that the readiness endpoint accepts.
+const MAX_PROBE_BODY_BYTES: usize = 1 << 10;
+
 impl PlatformSpoke {
-    /// Starts it; it runs for as long as the returned value lives.
-    pub async fn start(env: &Env, given: &Given, place: &NodeConfig, disabled: DisabledGuards) -> io::Result<Self> {
-        let node = run_with_protocol(env, place, disabled, Some(platform::Speech::shared())).await?;
+    /// Starts the node. It runs for as long as the returned value lives.
+    ///
+    /// # Errors
+    /// If one of its addresses can't be listened on.
+    pub async fn start(env: &Env, settings: &Given, config: &NodeConfig, disabled: DisabledGuards) -> io::Result<Self> {
+        let node = run_with_protocol(env, config, disabled, Some(platform::Speech::shared())).await?;
         let host = node.session_provider();
-        let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
-        let probe = Endpoint::new(64, 1 << 10);
+        let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
+        let readiness_endpoint = Endpoint::new(MAX_PROBE_CONNECTIONS, MAX_PROBE_BODY_BYTES);
         let mut tree = Supervisor::new(env);
-        if let Some(addr) = given.access {
-            let sock = bind(env, addr).await?;
-            let (e, d, h) = (env.clone(), door.clone(), host.clone());
-            let step = place.bounds.control_heartbeat();
-            tree.child("able", move || close_idle_when_not_ready(e.clone(), d.clone(), h.clone(), step));
-            let (e, d, h) = (env.clone(), door.clone(), host.clone());
-            tree.child("access", move || platform::serve(e.clone(), sock.clone(), d.clone(), h.clone()));
+        if let Some(addr) = settings.access {
+            let listener = bind(env, addr).await?;
+            let (child_env, child_endpoint, child_host) = (env.clone(), endpoint.clone(), host.clone());
+            let interval = config.bounds.control_heartbeat();
+            tree.child("closing of idle sessions", move || {
+                close_idle_when_not_ready(child_env.clone(), child_endpoint.clone(), child_host.clone(), interval)
+            });
+            let (child_env, child_endpoint, child_host) = (env.clone(), endpoint.clone(), host.clone());
+            tree.child("access", move || {
+                platform::serve(child_env.clone(), listener.clone(), child_endpoint.clone(), child_host.clone())
+            });
         }
-        if let Some(addr) = given.ready {
-            let sock = bind(env, addr).await?;
-            let leaving = door.clone();
-            let make = Rc::new(move || {
-                let leaving = leaving.draining.clone();
+        if let Some(addr) = settings.ready {
+            let listener = bind(env, addr).await?;
+            let client_endpoint = endpoint.clone();
+            let new_probe = Rc::new(move || {
+                let leaving = client_endpoint.draining.clone();
                 Rc::new(platform::Probe { host: host.clone(), leaving }) as Rc<dyn http::RequestHandler>
             });
-            let (e, p) = (env.clone(), probe.clone());
-            tree.child("ready", move || http::serve(e.clone(), sock.clone(), p.clone(), make.clone()));
+            let (child_env, child_endpoint) = (env.clone(), readiness_endpoint.clone());
+            tree.child("ready", move || {
+                http::serve(child_env.clone(), listener.clone(), child_endpoint.clone(), new_probe.clone())
+            });
         }
-        let grace = Duration::from_millis(given.grace);
-        Ok(Self { env: env.clone(), node, endpoint: door, grace, _tree: tree })
+        let grace = Duration::from_millis(settings.grace);
+        Ok(Self { env: env.clone(), node, endpoint, grace, _tree: tree })
     }
 
-    /// Says that no new callers are wanted, serves on until that is known, then lets each session go once nothing of it
-    /// is open. Open transactions have the first half of the grace. What still runs towards its end is given up on, and
-    /// told so.
+    /// Shuts the node down. It reports itself as not ready and serves on until that is known to clients (5/12 of the grace
+    /// period); then it closes each session that has no open transaction. Open transactions may end until half of the grace
+    /// period. Statements that are still running at 10/12 are aborted, and their clients get an error.
     pub async fn leave(&self) {
         let start = self.env.now();
         self.endpoint.draining.set(true);
@@ -95,9 +110,9 @@
         self.node.release_all().await;
     }
 
-    /// Waits until no session is open, or until this moment.
-    async fn until_closed(&self, end: Duration) {
-        while self.endpoint.open_connections.get() > 0 && self.env.now() < end {
+    /// Waits until no session is open, or until `deadline`.
+    async fn until_closed(&self, deadline: Duration) {
+        while self.endpoint.open_connections.get() > 0 && self.env.now() < deadline {
             self.env.sleep(self.grace / 120).await;
         }
     }
--- a/spoke/src/run.rs
+++ b/spoke/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a spoke together and runs it under its supervisor.
+//! Assembles a node from its parts and runs it under a supervisor.
 
 use std::{
     cell::{Cell, RefCell},
@@ -33,75 +33,75 @@
     view::{Event, Journal},
 };
 
-/// Guards that tests take away to see that they are needed; the programs leave all in place.
+/// Safeguards that tests disable to show that each one is needed. The programs disable none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DisabledGuards {
-    /// Send a write again though its bytes may have left.
+    /// Send a write again although its bytes may have been sent.
     pub resend: bool,
-    /// Act on leader grants that ran out.
+    /// Use primary leases that have expired.
     pub no_fence: bool,
-    /// Acknowledge without a second server.
+    /// Acknowledge commits without a second copy.
     pub no_second: bool,
-    /// Read from followers whatever their position.
+    /// Read from replicas regardless of their position.
     pub no_fresh: bool,
-    /// Serve without the leading hub's confirmation, on shares that ran out.
+    /// Serve without the leading control node's confirmation, and use shares that have expired.
     pub no_confirm: bool,
-    /// Send to draining, gone and emptied servers.
+    /// Send statements to draining and unreachable servers and to servers in evacuated zones.
     pub no_veto: bool,
-    /// Work on in an emptied area.
+    /// Keep working in an evacuated zone.
     pub no_empty: bool,
-    /// Hand a connection on with the session state it wears.
+    /// Reuse a connection with the session state that is applied on it.
     pub no_wipe: bool,
-    /// Hand a connection on with the transaction that its caller left open.
+    /// Reuse a connection with the transaction that its client left open.
     pub no_rollback: bool,
-    /// Read for a session from followers whatever it wrote before.
+    /// Read from replicas regardless of what the session wrote before.
     pub no_token: bool,
-    /// Carry out an attempt as often as it comes.
+    /// Execute an attempt each time it arrives.
     pub no_sends: bool,
-    /// Take a body that was cut short for whole.
+    /// Accept a truncated body as complete.
     pub cut_bodies: bool,
-    /// Read from any server, whatever the doorway's group.
+    /// Read from any server, regardless of the route's group.
     pub no_group: bool,
-    /// Remember only how far a server ever was.
+    /// Keep each server's highest position, even after its log lost entries.
     pub grow: bool,
-    /// Close at once when asked to end.
+    /// Close at once on shutdown.
     pub no_linger: bool,
 }
 
-/// A connection to a scarce server rests for so large a part of a lease at most.
+/// A connection to a scarce server may be idle for this fraction of a lease's duration.
 const MAX_IDLE_LEASE_DIVISOR: u32 = 4;
 
-/// The pools of all servers.
+/// The connection pools of all servers.
 pub struct Pools {
     env: Env,
     max_waiters: usize,
     connect_timeout: Duration,
-    /// How long a connection to a scarce server may rest.
+    /// How long a connection to a scarce server may be idle.
     max_idle: Duration,
     protocol: Option<Rc<dyn ServerProtocol>>,
     by_server: RefCell<BTreeMap<String, Rc<Pool>>>,
     disabled: DisabledGuards,
-    /// How many servers this node had no share of when last looked at.
+    /// How many servers this node had no share of at the last check.
     logged_without_share: Cell<usize>,
-    /// Rung when a pool came or went.
+    /// Notified when a pool was added or removed.
     pub changed: Notify,
 }
 
 impl Pools {
     fn new(
         env: &Env,
-        most: usize,
-        dial: Duration,
-        resting: Duration,
+        max_waiters: usize,
+        connect_timeout: Duration,
+        max_idle: Duration,
         disabled: DisabledGuards,
-        manner: Option<Rc<dyn ServerProtocol>>,
+        protocol: Option<Rc<dyn ServerProtocol>>,
     ) -> Rc<Self> {
         Rc::new(Self {
             env: env.clone(),
-            max_waiters: most,
-            connect_timeout: dial,
-            max_idle: resting,
-            protocol: manner,
+            max_waiters,
+            connect_timeout,
+            max_idle,
+            protocol,
             disabled,
             logged_without_share: Cell::default(),
             by_server: RefCell::default(),
@@ -109,12 +109,12 @@
         })
     }
 
-    /// The pool of a server.
+    /// The pool of a server, if it is a member of a group.
     pub fn get(&self, server: &str) -> Option<Rc<Pool>> {
         self.by_server.borrow().get(server).cloned()
     }
 
-    /// Every pool.
+    /// All pools by server.
     pub fn all(&self) -> BTreeMap<String, Rc<Pool>> {
         self.by_server.borrow().clone()
     }
@@ -124,23 +124,24 @@
         self.by_server.borrow().get(server).map_or(0, |p| p.limit())
     }
 
-    /// Since when a server's pool could open no connection.
+    /// Since when a server's pool has failed to open a connection.
     pub fn connecting_since(&self, server: &str) -> Option<Duration> {
         self.by_server.borrow().get(server).and_then(|p| p.connecting_since())
     }
 
-    /// How busy a server's pool is, as a part of its share.
+    /// The load of a server's pool: connections in use and waiters, relative to its share.
     pub fn load(&self, server: &str) -> f64 {
-        let map = self.by_server.borrow();
-        map.get(server).map_or(1.0, |p| (p.in_use() + p.waiting()) as f64 / p.limit().max(1) as f64)
+        let by_server = self.by_server.borrow();
+        by_server.get(server).map_or(1.0, |p| (p.in_use() + p.waiting()) as f64 / p.limit().max(1) as f64)
     }
 
-    /// Follows the view: a pool for each server, each within its share while that stands.
-    async fn follow_view(self: Rc<Self>, journal: Rc<Journal>, step: Duration) -> Result<(), Infallible> {
+    /// Keeps the pools in line with the view, at each change and at least once per `interval`: one pool for each server, limited
+    /// to the node's share while that is valid.
+    async fn follow_view(self: Rc<Self>, journal: Rc<Journal>, interval: Duration) -> Result<(), Infallible> {
         loop {
             let seen = journal.changed.generation();
             self.update(&journal);
-            let _ = self.env.timeout(step, journal.changed.changed_since(seen)).await;
+            let _ = self.env.timeout(interval, journal.changed.changed_since(seen)).await;
         }
     }
 
@@ -149,7 +150,7 @@
         self.by_server.borrow().values().filter(|pool| pool.limit() == 0).count()
     }
 
-    /// Logs when this node comes to have no share of some servers, and when it has one of each again.
+    /// Logs when this node starts to have no share of some servers, and when it has a share of every server again.
     fn log_missing_shares(&self) {
         let (without, all) = (self.without_share(), self.by_server.borrow().len());
         if (without > 0) != (self.logged_without_share.get() > 0) {
@@ -160,34 +161,42 @@
 
     fn update(&self, journal: &Journal) {
         let now = self.env.now();
-        let mut moved = false;
+        let mut changed = false;
         {
             let view = journal.view();
-            let mut map = self.by_server.borrow_mut();
-            let allowed = |s: &str| view.image.as_ref().is_some_and(|i| i.group_of(s).is_some());
-            map.retain(|name, pool| {
-                let at = view.servers.get(name).map(|s| s.addr.as_str());
-                let keep = allowed(name) && at == Some(&pool.addr.to_string());
+            let mut by_server = self.by_server.borrow_mut();
+            let in_group = |server: &str| view.image.as_ref().is_some_and(|i| i.group_of(server).is_some());
+            by_server.retain(|name, pool| {
+                let addr = view.servers.get(name).map(|s| s.addr.as_str());
+                let keep = in_group(name) && addr == Some(&pool.addr.to_string());
                 if !keep {
                     pool.set_limit(0);
-                    moved = true;
+                    changed = true;
                 }
                 keep
             });
-            for (name, s) in view.servers.iter().filter(|(n, _)| allowed(n)) {
-                let Ok(addr) = s.addr.parse() else { continue };
-                if !map.contains_key(name) {
-                    let home = view.image.as_ref().and_then(|i| i.group_of(name)).filter(|g| g.confirms);
-                    let speech = match (home, &self.protocol) {
-                        (Some(g), Some(m)) => Some((m.clone(), g.name.clone())),
+            for (name, server) in view.servers.iter().filter(|(name, _)| in_group(name)) {
+                let Ok(addr) = server.addr.parse() else { continue };
+                if !by_server.contains_key(name) {
+                    let confirming_group = view.image.as_ref().and_then(|i| i.group_of(name)).filter(|g| g.confirms);
+                    let protocol = match (confirming_group, &self.protocol) {
+                        (Some(group), Some(protocol)) => Some((protocol.clone(), group.name.clone())),
                         (Some(_), None) => continue,
                         _ => None,
                     };
-                    map.insert(
+                    by_server.insert(
                         name.clone(),
-                        Pool::new(&self.env, name, addr, self.max_waiters, self.connect_timeout, self.max_idle, speech),
+                        Pool::new(
+                            &self.env,
+                            name,
+                            addr,
+                            self.max_waiters,
+                            self.connect_timeout,
+                            self.max_idle,
+                            protocol,
+                        ),
                     );
-                    moved = true;
+                    changed = true;
                 }
             }
         }
@@ -203,19 +212,20 @@
             pool.close_long_idle();
         }
         self.log_missing_shares();
-        if moved {
+        if changed {
             self.changed.notify_waiters();
         }
     }
 }
 
+/// The node's part in the exchange with control nodes: reports in heartbeats, and applies acknowledgements and snapshots.
 struct NodeRelayHandler {
     env: Env,
     journal: Rc<Journal>,
     health: Rc<HealthMeasurements>,
     pools: Rc<Pools>,
     urgent_heartbeat: Notify,
-    /// After how long without an answer from a server that is read seldom this node tells nothing of it.
+    /// Age of the last response after which a server that is sampled at a reduced rate is left out of heartbeats.
     max_report_age: Duration,
 }
 
@@ -224,70 +234,72 @@
         false
     }
 
-    fn fill_heartbeat(&self, beat: &mut NodeHeartbeat) {
+    fn fill_heartbeat(&self, heartbeat: &mut NodeHeartbeat) {
         let now = self.env.now();
         let view = self.journal.view();
         for (name, pool) in self.pools.all() {
             let count = pool.limit().max(pool.open()) as u64;
-            beat.shares.push(HeldShare { server: name.clone(), count, want: pool.wanted() as u64 });
+            heartbeat.shares.push(HeldShare { server: name.clone(), count, want: pool.wanted() as u64 });
             if pool.limit() > 0 {
-                let x = self.health.observation(&name);
-                let silent = x.unresponsive_since(pool.connecting_since());
+                let observation = self.health.observation(&name);
+                let unresponsive_since = observation.unresponsive_since(pool.connecting_since());
                 if pool.sampling_factor() > 1
-                    && silent.is_none()
-                    && x.last_response_at.is_none_or(|t| now > t + self.max_report_age)
+                    && unresponsive_since.is_none()
+                    && observation.last_response_at.is_none_or(|t| now > t + self.max_report_age)
                 {
-                    // Nothing was asked lately, so nothing can be told.
+                    // Without a recent request there is nothing to report.
                     continue;
                 }
                 let age = match pool.protocol {
-                    // How long a question stands unanswered: silence tells nothing where nothing was asked.
-                    Some(_) => silent.map_or(0, |t| now.saturating_sub(t).as_millis() as u64),
-                    None => x.last_response_at.map_or(u64::MAX / 2, |t| now.saturating_sub(t).as_millis() as u64),
+                    // How long a request has been unanswered: without a request, the lack of a response means nothing.
+                    Some(_) => unresponsive_since.map_or(0, |t| now.saturating_sub(t).as_millis() as u64),
+                    None => {
+                        observation.last_response_at.map_or(u64::MAX / 2, |t| now.saturating_sub(t).as_millis() as u64)
+                    }
                 };
-                beat.observations.push(ServerObservation {
+                heartbeat.observations.push(ServerObservation {
                     server: name,
                     age,
-                    epoch: x.position.epoch,
-                    index: x.position.index,
-                    refused: x.refused_connections > 1,
-                    lost_since_admission: x.lost_at_admission.unwrap_or(0),
+                    epoch: observation.position.epoch,
+                    index: observation.position.index,
+                    refused: observation.refused_connections > 1,
+                    lost_since_admission: observation.lost_at_admission.unwrap_or(0),
                 });
             }
         }
-        for (group, l) in view.primary_leases.iter().filter(|(_, l)| now < l.valid_until) {
-            beat.primary_leases.push(PrimaryLeaseGrant {
+        for (group, lease) in view.primary_leases.iter().filter(|(_, lease)| now < lease.valid_until) {
+            heartbeat.primary_leases.push(PrimaryLeaseGrant {
                 group: group.clone(),
-                server: l.server.clone(),
-                epoch: l.epoch,
+                server: lease.server.clone(),
+                epoch: lease.epoch,
                 valid_ms: 0,
             });
         }
     }
 
     fn on_ack(&self, ack: NodeHeartbeatAck, sent_at: Duration) {
-        let before = self.journal.view().lost_leases;
+        let lost_before = self.journal.view().lost_leases;
         self.journal.append(Event::HeartbeatAck { ack, sent_at });
-        if self.journal.view().lost_leases != before {
-            // The sooner the leading hub hears that the grant is handed back, the sooner it may elect.
+        if self.journal.view().lost_leases != lost_before {
+            // Sends a heartbeat at once: the leading control node may hold an election as soon as the release is reported.
             self.urgent_heartbeat.notify_waiters();
         }
     }
 
-    fn on_snapshot(&self, news: &Rc<Snapshot>) {
-        self.journal.append(Event::Snapshot(news.clone()));
+    fn on_snapshot(&self, snapshot: &Rc<Snapshot>) {
+        self.journal.append(Event::Snapshot(snapshot.clone()));
     }
 
-    fn handle_heartbeat(&self, _beat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
+    fn handle_heartbeat(&self, _heartbeat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
         None
     }
 
-    fn handle_request(&self, _ask: ForwardedRequest, _done: Box<dyn FnOnce(ForwardedResponse)>) {}
+    fn handle_request(&self, _request: ForwardedRequest, _respond: Box<dyn FnOnce(ForwardedResponse)>) {}
 
-    fn on_other_frame(&self, _from: &Hello, _body: Body, _out: &LinkWriter) {}
+    fn on_other_frame(&self, _from: &Hello, _body: Body, _writer: &LinkWriter) {}
 }
 
-/// A running spoke.
+/// A running node of the data plane.
 pub struct Node {
     env: Env,
     pub relay: Rc<Relay>,
@@ -298,66 +310,73 @@
     _tree: Supervisor,
 }
 
-/// Starts a spoke; it runs for as long as the returned value lives.
-pub async fn run(env: &Env, place: &NodeConfig, disabled: DisabledGuards) -> std::io::Result<Node> {
-    run_with_protocol(env, place, disabled, None).await
+/// Starts a node that serves HTTP only. It runs for as long as the returned value lives.
+///
+/// # Errors
+/// If one of its addresses can't be listened on.
+pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> std::io::Result<Node> {
+    run_with_protocol(env, config, disabled, None).await
 }
 
-/// Starts a spoke that speaks to servers which confirm commits in the users' manner.
+/// Starts a node that uses `protocol` for the servers of groups that confirm commits. Without a protocol, the node does not
+/// use these servers.
+///
+/// # Errors
+/// If one of its addresses can't be listened on.
 pub async fn run_with_protocol(
     env: &Env,
-    place: &NodeConfig,
+    config: &NodeConfig,
     disabled: DisabledGuards,
-    manner: Option<Rc<dyn ServerProtocol>>,
+    protocol: Option<Rc<dyn ServerProtocol>>,
 ) -> std::io::Result<Node> {
-    let who = NodeIdentity {
-        name: place.name.clone(),
-        zone: place.zone.clone(),
+    let identity = NodeIdentity {
+        name: config.name.clone(),
+        zone: config.zone.clone(),
         is_control_node: false,
-        peer: place.peer,
-        http: place.http,
-        seeds: place.seeds.clone(),
+        peer: config.peer,
+        http: config.http,
+        seeds: config.seeds.clone(),
         boot_id: env.rand(),
     };
-    let peer = env.listen(place.peer).await?;
-    let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(place.http).await?)));
-    let bounds = place.bounds.clone();
+    let peer_listener = env.listen(config.peer).await?;
+    let http_listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(config.http).await?)));
+    let bounds = config.bounds.clone();
     let journal = Journal::new(env);
     let pools = Pools::new(
         env,
-        place.max_queued,
+        config.max_queued,
         bounds.call_timeout(),
         bounds.lease_duration() / MAX_IDLE_LEASE_DIVISOR,
         disabled,
-        manner,
+        protocol,
     );
-    let gauges = HealthMeasurements::new(env, journal.clone(), bounds.clone(), place.policy.clone(), disabled.grow);
-    let relay = Relay::new(env, who.clone(), bounds.clone());
+    let health = HealthMeasurements::new(env, journal.clone(), bounds.clone(), config.policy.clone(), disabled.grow);
+    let relay = Relay::new(env, identity.clone(), bounds.clone());
     relay.set_handler(Rc::new(NodeRelayHandler {
         env: env.clone(),
         journal: journal.clone(),
-        health: gauges.clone(),
+        health: health.clone(),
         pools: pools.clone(),
         urgent_heartbeat: relay.urgent_heartbeat.clone(),
         max_report_age: bounds.server_missed_after() * 2,
     }));
-    let door = Endpoint::new(place.max_sessions, place.max_body_bytes);
-    door.accept_truncated_bodies.set(disabled.cut_bodies);
-    let decider = Router {
+    let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
+    endpoint.accept_truncated_bodies.set(disabled.cut_bodies);
+    let router = Router {
         env: env.clone(),
-        name: place.name.clone(),
-        zone: place.zone.clone(),
+        name: config.name.clone(),
+        zone: config.zone.clone(),
         journal: journal.clone(),
-        health: gauges.clone(),
+        health: health.clone(),
         pools: pools.clone(),
         bounds: bounds.clone(),
-        serve_in_evacuated_zone: place.serve_in_evacuated_zone,
+        serve_in_evacuated_zone: config.serve_in_evacuated_zone,
         disabled,
     };
-    let works = Rc::new(ExecutionContext {
+    let context = Rc::new(ExecutionContext {
         env: env.clone(),
-        router: decider,
-        health: gauges.clone(),
+        router,
+        health: health.clone(),
         journal: journal.clone(),
         pools: pools.clone(),
         counters: Default::default(),
@@ -366,32 +385,36 @@
     });
 
     let mut tree = Supervisor::new(env);
-    relay.supervise(&mut tree, peer);
-    let (p, j, step) = (pools.clone(), journal.clone(), bounds.control_heartbeat());
-    tree.child("pools", move || p.clone().follow_view(j.clone(), step));
-    let (g, p) = (gauges.clone(), pools.clone());
-    tree.child("samples", move || g.clone().run_sampling(p.clone()));
-    let g = gauges.clone();
-    tree.child("evaluations", move || g.clone().run_evaluations());
-    let lag = LoopLag::new(env, bounds.control_heartbeat());
-    let l = lag.clone();
-    tree.child("loop lag", move || l.clone().watch());
-    let show = Rc::new(StatusPages { context: works.clone(), relay: relay.clone(), loop_lag: lag });
-    let (e, d, w, r) = (env.clone(), door.clone(), works.clone(), relay.clone());
+    relay.supervise(&mut tree, peer_listener);
+    let (child_pools, child_journal, interval) = (pools.clone(), journal.clone(), bounds.control_heartbeat());
+    tree.child("pools", move || child_pools.clone().follow_view(child_journal.clone(), interval));
+    let (child_health, child_pools) = (health.clone(), pools.clone());
+    tree.child("samples", move || child_health.clone().run_sampling(child_pools.clone()));
+    let child_health = health.clone();
+    tree.child("evaluations", move || child_health.clone().run_evaluations());
+    let loop_lag = LoopLag::new(env, bounds.control_heartbeat());
+    let child_loop_lag = loop_lag.clone();
+    tree.child("loop lag", move || child_loop_lag.clone().watch());
+    let status_pages = Rc::new(StatusPages { context: context.clone(), relay: relay.clone(), loop_lag });
+    let (child_env, child_endpoint, child_context, child_relay) =
+        (env.clone(), endpoint.clone(), context.clone(), relay.clone());
     tree.child("door", move || {
-        let (w, r, s) = (w.clone(), r.clone(), show.clone());
-        let make = Rc::new(move || {
-            Rc::new(NodeConnection { session: HttpSession::new(&w), relay: r.clone(), status_pages: s.clone() })
-                as Rc<dyn RequestHandler>
+        let (context, relay, status_pages) = (child_context.clone(), child_relay.clone(), status_pages.clone());
+        let new_connection = Rc::new(move || {
+            Rc::new(NodeConnection {
+                session: HttpSession::new(&context),
+                relay: relay.clone(),
+                status_pages: status_pages.clone(),
+            }) as Rc<dyn RequestHandler>
         });
-        http::serve(e.clone(), sock.clone(), d.clone(), make)
+        http::serve(child_env.clone(), http_listener.clone(), child_endpoint.clone(), new_connection)
     });
-    env.log(Component::Main, format!("spoke {} in area {} serves {}", who.name, who.zone, place.http));
-    Ok(Node { env: env.clone(), relay, endpoint: door, health: gauges, context: works, bounds, _tree: tree })
+    env.log(Component::Main, format!("spoke {} in area {} serves {}", identity.name, identity.zone, config.http));
+    Ok(Node { env: env.clone(), relay, endpoint, health, context, bounds, _tree: tree })
 }
 
 impl Node {
-    /// Takes a changed policy; the standing lists are evaluated anew at once.
+    /// Applies a changed selection policy; all eligible sets are evaluated again at once.
     pub fn policy(&self, new: &PolicySettings) {
         if *self.health.policy.borrow() == *new {
             return;
@@ -401,15 +424,17 @@
         self.env.log(Component::Pick, "the policy was changed");
     }
 
-    /// Lets what is in flight end, hands everything back, closes the doors.
+    /// Shuts the node down: closes its endpoint once the open sessions have ended or their time is over, and releases leases and
+    /// shares.
     pub async fn leave(&self) {
         if !self.context.router.disabled.no_linger {
-            // Each answer now tells its caller to come back elsewhere; only those that stay idle are closed on.
+            // From now on each response asks its client to reconnect to another node; after the grace period, idle sessions
+            // are closed.
             self.endpoint.close();
-            let end = self.env.now() + self.bounds.evacuation_grace();
-            self.wait_until_closed(end).await;
+            let grace_end = self.env.now() + self.bounds.evacuation_grace();
+            self.wait_until_closed(grace_end).await;
             self.endpoint.close_idle();
-            self.wait_until_closed(end + self.bounds.statement_timeout()).await;
+            self.wait_until_closed(grace_end + self.bounds.statement_timeout()).await;
         }
         self.relay.leave();
         self.env.sleep(self.bounds.control_heartbeat()).await;
@@ -417,25 +442,26 @@
             .log(Component::Main, format!("{} sessions left open at the end", self.endpoint.open_connections.get()));
     }
 
-    async fn wait_until_closed(&self, end: Duration) {
-        while self.endpoint.open_connections.get() > 0 && self.env.now() < end {
+    /// Waits until no connection is open, or until `deadline`.
+    async fn wait_until_closed(&self, deadline: Duration) {
+        while self.endpoint.open_connections.get() > 0 && self.env.now() < deadline {
             self.env.sleep(self.bounds.control_heartbeat() / 4).await;
         }
     }
 
-    /// Where a door in the users' manner opens its sessions.
+    /// Opens sessions for an endpoint that uses the platform protocol.
     pub fn session_provider(&self) -> Rc<dyn SessionProvider> {
         Rc::new(SessionOpener { context: self.context.clone() })
     }
 
-    /// Hands everything back, once the doors of the users' manner are closed.
+    /// Releases leases and shares, once the endpoints of the platform protocol are closed.
     pub async fn release_all(&self) {
         self.endpoint.close_idle();
         self.relay.leave();
         self.env.sleep(self.bounds.control_heartbeat()).await;
     }
 
-    /// How many sessions were ever opened.
+    /// How many sessions were opened since the start.
     pub fn sessions(&self) -> u64 {
         self.context.counters.sessions.get()
     }
--- a/spoke/src/view/mod.rs
+++ b/spoke/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! What a spoke knows: events appended to a journal, and the view folded from them.
+//! The node's view of the cluster state: events are appended to a journal and applied to the view.
 
 mod apply;
 
@@ -12,42 +12,39 @@
 use base::{notify::Notify, runtime::Env};
 use wire::{Image, NodeHeartbeatAck, Route, Snapshot, SnapshotVersion};
 
-/// How many events the journal keeps for inspection.
+/// How many lines the journal keeps for inspection.
 const MAX_JOURNAL_LINES: usize = 512;
 
-/// Something the spoke was told.
+/// Information that the node received about the cluster.
 pub enum Event {
+    /// A snapshot of the cluster state.
     Snapshot(Rc<Snapshot>),
-    HeartbeatAck {
-        ack: NodeHeartbeatAck,
-        sent_at: Duration,
-    },
-    /// A server said on the spoke's own connection that it is draining, or no longer.
-    Draining {
-        server: String,
-        draining: bool,
-    },
+    /// The acknowledgement of a heartbeat that this node sent at `sent_at`.
+    HeartbeatAck { ack: NodeHeartbeatAck, sent_at: Duration },
+    /// A server reported on one of the node's own connections whether it is draining.
+    Draining { server: String, draining: bool },
 }
 
-/// A server as the spoke knows it.
+/// The state of a server in the view.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     pub addr: String,
     pub zone: String,
-    /// Since when it is known to drain.
+    /// Since when the server has been draining, as far as the node was informed.
     pub draining_since: Option<Duration>,
-    /// Since when it is known to be gone.
+    /// Since when the server has been reported unreachable.
     pub gone_since: Option<Duration>,
+    /// How cold the server's caches are, from 0 (warm) to 1.
     pub cold: f64,
 }
 
-/// The leave to act on a leader.
+/// The node's lease to use a server as primary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrimaryLease {
     pub server: String,
     pub epoch: u64,
     pub valid_until: Duration,
-    /// Since when leave to act on this leader was held without a break.
+    /// Since when the node has held a lease for this primary without interruption.
     pub held_since: Duration,
 }
 
@@ -56,44 +53,47 @@
 pub struct Share {
     pub count: u64,
     pub valid_until: Duration,
-    /// More nodes want a connection than there are: one that rests is given back soon.
+    /// Whether nodes need more connections than there are; an idle one is then closed early.
     pub scarce: bool,
     /// How many nodes share the server's connections.
     pub sharers: u64,
 }
 
-/// Folded from all events so far.
+/// The state that results from all events so far.
 #[derive(Default)]
 pub struct View {
     pub image: Option<Rc<Image>>,
     pub servers: BTreeMap<String, Server>,
-    /// Since when each emptied area is known to be emptied.
+    /// Since when each evacuated zone has been evacuated, as far as the node was informed.
     pub evacuated_since: BTreeMap<String, Duration>,
+    /// The primary lease of each group.
     pub primary_leases: BTreeMap<String, PrimaryLease>,
+    /// The share of each server's connections.
     pub shares: BTreeMap<String, Share>,
     pub snapshot_version: SnapshotVersion,
-    /// The leading hub's word was the newest at this time.
+    /// The latest time at which the node's snapshot was the newest one of the leading control node.
     pub confirmed_at: Option<Duration>,
-    /// How often a leader grant was taken back.
+    /// How many times an acknowledgement ended a primary lease.
     pub lost_leases: u64,
+    /// Acknowledged heartbeats whose snapshot version the node does not have yet: when each was sent, and the version.
     unconfirmed_acks: Vec<(Duration, SnapshotVersion)>,
 }
 
 impl View {
-    /// The doorway of a name; news keeps them in order.
+    /// The route with this name. Snapshots keep the routes sorted by name.
     pub fn route(&self, name: &str) -> Option<&Route> {
-        let doorways = &self.image.as_ref()?.routes;
-        let at = doorways.binary_search_by(|d| d.name.as_str().cmp(name)).ok()?;
-        doorways.get(at)
+        let routes = &self.image.as_ref()?.routes;
+        let index = routes.binary_search_by(|d| d.name.as_str().cmp(name)).ok()?;
+        routes.get(index)
     }
 }
 
-/// The journal and its view.
+/// The view, and a journal of the latest events that changed it.
 pub struct Journal {
     env: Env,
     lines: RefCell<VecDeque<(Duration, String)>>,
     view: RefCell<View>,
-    /// Rung after each event.
+    /// Notified after each event.
     pub changed: Notify,
 }
 
@@ -108,26 +108,26 @@
         })
     }
 
-    /// Appends an event and folds it into the view.
+    /// Appends an event and applies it to the view.
     pub fn append(&self, event: Event) {
         let now = self.env.now();
         let line = self.view.borrow_mut().apply(now, event);
-        if let Some(l) = line {
-            let mut ring = self.lines.borrow_mut();
-            if ring.len() == MAX_JOURNAL_LINES {
-                ring.pop_front();
+        if let Some(line) = line {
+            let mut lines = self.lines.borrow_mut();
+            if lines.len() == MAX_JOURNAL_LINES {
+                lines.pop_front();
             }
-            ring.push_back((now, l));
+            lines.push_back((now, line));
         }
         self.changed.notify_waiters();
     }
 
-    /// The view as it stands.
+    /// The current view.
     pub fn view(&self) -> Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// The newest events, oldest first.
+    /// The latest journal lines with their times, oldest first.
     pub fn lines(&self) -> Vec<(Duration, String)> {
         self.lines.borrow().iter().cloned().collect()
     }
