--- a/spoke/src/http_endpoint/status.rs
+++ b/spoke/src/http_endpoint/status.rs
@@ -12,16 +12,21 @@
     /// The node's state: the body of `/status`.
     pub struct Status {
         pub name: String,
+        /// The node's zone.
         pub area: String,
         pub serving: bool,
+        /// Why the node does not serve; empty while it does.
         pub why: String,
         pub sequence: u64,
+        /// How long ago the leading control node last confirmed the node's snapshot as the newest.
         pub confirmed_ms: Option<u64>,
+        /// Whether the node has a path to the leading control node.
         pub fed: bool,
         pub parent: String,
         pub depth: u64,
         pub children: Vec<String>,
         pub leads: Vec<PrimaryLeaseRow>,
+        /// The evacuated zones.
         pub emptied: Vec<String>,
         pub pools: Vec<PoolRow>,
         pub counts: Counts,
@@ -29,11 +34,13 @@
 }
 
 strict! {
-    /// A primary lease. `left_ms` is the remaining validity.
+    /// A primary lease.
     pub struct PrimaryLeaseRow {
         pub group: String,
         pub server: String,
+        /// The epoch that the lease is for.
         pub line: u64,
+        /// The remaining validity.
         pub left_ms: u64,
     }
 }
@@ -42,6 +49,7 @@
     /// The connections to one server, and the server's state.
     pub struct PoolRow {
         pub server: String,
+        /// How many connections the node may open.
         pub share: u64,
         pub open: u64,
         pub used: u64,
@@ -49,7 +57,9 @@
         pub lag: u64,
         pub position: String,
         pub draining: bool,
+        /// Whether the server is reported unreachable.
         pub gone: bool,
+        /// How cold the server's caches are, from 0 (warm) to 1.
         pub cold: f64,
     }
 }
