--- a/spoke/src/execution/attempts.rs
+++ b/spoke/src/execution/attempts.rs
@@ -34,8 +34,8 @@
 }
 
 impl Attempts {
-    /// Claims an attempt id for the statement with this hash. Returns the response to give instead if the statement must not
-    /// be executed (again).
+    /// Claims an attempt id for the statement with this hash. Returns the response to give instead if the statement
+    /// must not be executed (again).
     pub fn claim(&self, attempt_id: &str, hash: u64) -> Option<HttpResponse> {
         let mut by_id = self.by_id.borrow_mut();
         match by_id.get(attempt_id) {
@@ -99,8 +99,8 @@
 }
 
 impl ExecutionContext {
-    /// Executes a single write whose attempt id the client chose. A repeated attempt at this node gets the first attempt's
-    /// response and is not executed again.
+    /// Executes a single write whose attempt id the client chose. A repeated attempt at this node gets the first
+    /// attempt's response and is not executed again.
     pub(super) async fn write_with_attempt_id(
         &self,
         store: &RefCell<SessionStore>,
--- a/spoke/src/execution/mod.rs
+++ b/spoke/src/execution/mod.rs
@@ -31,8 +31,8 @@
 pub use attempts::Attempts;
 pub use session::HttpSession;
 
-/// Limit on the attempts of a statement that was certainly not executed: this many attempts of a write or a `BEGIN`, and
-/// this many further attempts of a read.
+/// Limit on the attempts of a statement that was certainly not executed: this many attempts of a write or a `BEGIN`,
+/// and this many further attempts of a read.
 const ATTEMPT_LIMIT: usize = 3;
 
 /// Counters of requests and their outcomes since the start.
--- a/spoke/src/execution/write.rs
+++ b/spoke/src/execution/write.rs
@@ -113,8 +113,8 @@
         not_committed(ErrorKind::NoServer)
     }
 
-    /// The response for a write whose outcome is unknown. From then on the session's token allows reads from the primary
-    /// only.
+    /// The response for a write whose outcome is unknown. From then on the session's token allows reads from the
+    /// primary only.
     pub fn outcome_unknown_response(&self, store: &RefCell<SessionStore>) -> HttpResponse {
         store.borrow_mut().token.outcome_unknown = true;
         let token = store.borrow().token;
@@ -122,8 +122,8 @@
             .with_header(client::TOKEN_HEADER, token)
     }
 
-    /// Acknowledges a commit once a second server holds it, under the lease that it was sent under; otherwise reports an
-    /// unknown outcome.
+    /// Acknowledges a commit once a second server holds it, under the lease that it was sent under; otherwise reports
+    /// an unknown outcome.
     pub async fn confirm_commit(
         &self,
         store: &RefCell<SessionStore>,
--- a/spoke/src/health/mod.rs
+++ b/spoke/src/health/mod.rs
@@ -48,8 +48,8 @@
 }
 
 impl Observation {
-    /// Since when a server of a group that confirms commits has neither answered a request nor accepted the connections that
-    /// the node has been trying to open since `connecting_since`.
+    /// Since when a server of a group that confirms commits has neither answered a request nor accepted the connections
+    /// that the node has been trying to open since `connecting_since`.
     pub fn unresponsive_since(&self, connecting_since: Option<Duration>) -> Option<Duration> {
         let connecting_since = connecting_since.filter(|t| self.last_response_at.is_none_or(|at| at < *t));
         [self.pending_since, connecting_since].into_iter().flatten().min()
@@ -95,8 +95,8 @@
     pub position_reads: Cell<u64>,
 }
 
-/// How many entries `position` is behind `head`. On an older epoch, only the entries before the start of the newest epoch are
-/// common to both.
+/// How many entries `position` is behind `head`. On an older epoch, only the entries before the start of the newest
+/// epoch are common to both.
 fn lag(head: Position, position: Position, epoch_start: Position) -> u64 {
     let common = if position.epoch < head.epoch { position.index.min(epoch_start.index) } else { position.index };
     head.index.saturating_sub(common)
@@ -323,8 +323,8 @@
         self.observations.borrow().get(server).cloned().unwrap_or_default()
     }
 
-    /// How many entries a server is behind its group's primary. For a server without recent responses, the lag grows as the
-    /// primary proceeds.
+    /// How many entries a server is behind its group's primary. For a server without recent responses, the lag grows as
+    /// the primary proceeds.
     pub fn lag(&self, group: &str, server: &str) -> u64 {
         let observation = self.observation(server);
         let recent = self.env.now().saturating_sub(self.bounds.borrow().sampling_interval() * 3);
@@ -341,8 +341,8 @@
         observation.lag.max(lag(head, observation.position, epoch_start))
     }
 
-    /// Whether a server's log counts as a copy of a commit: it is complete, has the expected identity, and was not seen to
-    /// lose entries since its admission.
+    /// Whether a server's log counts as a copy of a commit: it is complete, has the expected identity, and was not seen
+    /// to lose entries since its admission.
     pub fn counts_as_copy(&self, server: &str) -> bool {
         let observation = self.observation(server);
         let view = self.journal.view();
--- a/spoke/src/health/sample.rs
+++ b/spoke/src/health/sample.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Samples a server of a group that confirms commits, whenever no response of it was recorded for a while: the primary
-    /// within a part of the freshness bound, a replica several times within the drain bound.
+    /// Samples a server of a group that confirms commits, whenever no response of it was recorded for a while: the
+    /// primary within a part of the freshness bound, a replica several times within the drain bound.
     async fn sample_idle_server(&self, pool: Rc<Pool>) {
         let server = pool.server.clone();
         let statement = Statement::internal(StatementKind::Status);
--- a/spoke/src/health/select.rs
+++ b/spoke/src/health/select.rs
@@ -14,7 +14,8 @@
 const MAX_LISTS_LOGGED: usize = 16;
 
 impl HealthMeasurements {
-    /// Evaluates every list at the evaluation interval, never for a statement, and at once after a change of the policy.
+    /// Evaluates every list at the evaluation interval, never for a statement, and at once after a change of the
+    /// policy.
     pub async fn run_evaluations(self: Rc<Self>) -> Result<(), Infallible> {
         let mut next_evaluation = self.env.now();
         let mut next_resampling = self.env.now();
--- a/spoke/src/on_platform.rs
+++ b/spoke/src/on_platform.rs
@@ -92,9 +92,9 @@
         Ok(Self { env: env.clone(), node, endpoint, grace, _tree: tree })
     }
 
-    /// Shuts the node down. It reports itself as not ready and serves on until that is known to clients (5/12 of the grace
-    /// period); then it closes each session that has no open transaction. Open transactions may end until half of the grace
-    /// period. Statements that are still running at 10/12 are aborted, and their clients get an error.
+    /// Shuts the node down. It reports itself as not ready and serves on until that is known to clients (5/12 of the
+    /// grace period); then it closes each session that has no open transaction. Open transactions may end until half of
+    /// the grace period. Statements that are still running at 10/12 are aborted, and their clients get an error.
     pub async fn leave(&self) {
         let start = self.env.now();
         self.endpoint.draining.set(true);
--- a/spoke/src/pool/mod.rs
+++ b/spoke/src/pool/mod.rs
@@ -20,8 +20,8 @@
 
 pub use slot::Slot;
 
-/// The session whose state is applied on an HTTP connection: its id, the database, and how many of its session statements
-/// were executed there.
+/// The session whose state is applied on an HTTP connection: its id, the database, and how many of its session
+/// statements were executed there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateOwner {
     pub session: u64,
@@ -154,8 +154,8 @@
         self.max_open.get()
     }
 
-    /// The factor by which this node stretches its sampling interval for the server's position, so that all nodes that share
-    /// the server together read it no more often than a few nodes would.
+    /// The factor by which this node stretches its sampling interval for the server's position, so that all nodes that
+    /// share the server together read it no more often than a few nodes would.
     pub fn sampling_factor(&self) -> u32 {
         u32::try_from(self.sharers.get() / READERS_AT_FULL_RATE).unwrap_or(u32::MAX).max(1)
     }
@@ -170,7 +170,8 @@
         self.in_use.get()
     }
 
-    /// How many connections this pool could use: the peak in use, which decays with each call, the waiters, and one spare.
+    /// How many connections this pool could use: the peak in use, which decays with each call, the waiters, and one
+    /// spare.
     pub fn wanted(&self) -> usize {
         let wanted = self.peak_in_use.get() + self.waiting() + 1;
         self.peak_in_use.set(self.in_use.get().max(self.peak_in_use.get() * 3 / 4));
@@ -215,8 +216,8 @@
     /// Acquires a connection, in the order of requests, and opens one if necessary.
     ///
     /// # Errors
-    /// `DeadlineExceeded` if none is available until `deadline`, `Overloaded` if too many sessions wait or the server accepts
-    /// no further one, `NoServer` if the node has no share of the server or can't connect.
+    /// `DeadlineExceeded` if none is available until `deadline`, `Overloaded` if too many sessions wait or the server
+    /// accepts no further one, `NoServer` if the node has no share of the server or can't connect.
     pub async fn acquire(self: &Rc<Self>, deadline: Duration) -> Result<Slot, ErrorKind> {
         loop {
             let mut slot = self.acquire_slot(deadline).await?;
--- a/spoke/src/pool/slot.rs
+++ b/spoke/src/pool/slot.rs
@@ -109,8 +109,8 @@
         Ok(response)
     }
 
-    /// Executes one statement on a protocol connection, where given only after the server has reached the position `after`.
-    /// Without a complete reply the connection is not reused.
+    /// Executes one statement on a protocol connection, where given only after the server has reached the position
+    /// `after`. Without a complete reply the connection is not reused.
     ///
     /// # Errors
     /// As `call`; a timeout counts as `OutcomeUnknown`.
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Applies exactly these session values to a protocol connection, and prepares the given statement (its text, and whether
-    /// it writes), if any. Returns the prepared statement's name on this connection, empty without one.
+    /// Applies exactly these session values to a protocol connection, and prepares the given statement (its text, and
+    /// whether it writes), if any. Returns the prepared statement's name on this connection, empty without one.
     pub async fn apply_session_values(
         &mut self,
         values: &BTreeMap<String, String>,
@@ -194,8 +194,8 @@
         Ok(name)
     }
 
-    /// Applies exactly the state of this session to an HTTP connection: resets it if another state is applied, and executes
-    /// the session statements that are missing.
+    /// Applies exactly the state of this session to an HTTP connection: resets it if another state is applied, and
+    /// executes the session statements that are missing.
     pub async fn apply_session_statements(
         &mut self,
         owner: &StateOwner,
--- a/spoke/src/protocol/attempt.rs
+++ b/spoke/src/protocol/attempt.rs
@@ -80,8 +80,8 @@
         self.send_statement(slot, list_key, statement.statement(), state, after, deadline).await
     }
 
-    /// Attempts a statement that may take effect. Consumes the statement, so that it can't be sent again unless the error
-    /// returns it.
+    /// Attempts a statement that may take effect. Consumes the statement, so that it can't be sent again unless the
+    /// error returns it.
     pub(super) async fn send_once(
         &self,
         slot: &mut Slot,
@@ -98,8 +98,9 @@
         }
     }
 
-    /// Executes one statement on a connection after applying the required state, and records the outcome. Private to this
-    /// file: other code uses `send_repeatable` and `send_once`, which keep apart what may be sent again and what may not.
+    /// Executes one statement on a connection after applying the required state, and records the outcome. Private to
+    /// this file: other code uses `send_repeatable` and `send_once`, which keep apart what may be sent again and what
+    /// may not.
     async fn send_statement(
         &self,
         slot: &mut Slot,
@@ -169,8 +170,8 @@
         (statement_timeout, statement_timeout / 2)
     }
 
-    /// Waits for admission of a statement outside a transaction. Returns its route, its list key, its deadline and the time
-    /// until which it may be retried.
+    /// Waits for admission of a statement outside a transaction. Returns its route, its list key, its deadline and the
+    /// time until which it may be retried.
     pub async fn admit_statement(
         &self,
         database: &str,
@@ -181,8 +182,8 @@
         Ok((route, self.health.list_key(database, ""), start + statement_timeout, start + max_wait))
     }
 
-    /// The route of a new statement or transaction: the one in force once this node may accept new work. The route that was
-    /// in force before the wait may have been replaced in the meantime.
+    /// The route of a new statement or transaction: the one in force once this node may accept new work. The route that
+    /// was in force before the wait may have been replaced in the meantime.
     pub async fn admitted_route(&self, database: &str) -> Result<MatchedRoute, ErrorKind> {
         let max_wait = match self.router.route(database) {
             Ok(route) => self.timeouts(&route).1,
--- a/spoke/src/protocol/read.rs
+++ b/spoke/src/protocol/read.rs
@@ -35,8 +35,8 @@
 }
 
 impl ExecutionContext {
-    /// Executes a single read. When the first server's response is slow, a second attempt is sent to another server: a read
-    /// changes nothing, so it may run twice.
+    /// Executes a single read. When the first server's response is slow, a second attempt is sent to another server: a
+    /// read changes nothing, so it may run twice.
     pub(super) async fn protocol_read(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
@@ -110,7 +110,9 @@
                         increment(&self.counters.retried);
                         tried.push(target.server.clone());
                         attempts.push(self.clone().attempt_read(task.clone(), target).boxed_local());
-                    } else if let Some((_, Ok(reply))) = self.env.timeout(task.deadline - now, attempts.next()).await.ok().flatten() {
+                    } else if let Some((_, Ok(reply))) =
+                        self.env.timeout(task.deadline - now, attempts.next()).await.ok().flatten()
+                    {
                         self.finish_in_background(attempts);
                         return read_response(reply);
                     }
@@ -131,8 +133,8 @@
         )
     }
 
-    /// Lets outstanding attempts finish in the background, so that no connection is closed while its server is executing a
-    /// statement.
+    /// Lets outstanding attempts finish in the background, so that no connection is closed while its server is
+    /// executing a statement.
     fn finish_in_background(&self, mut attempts: FuturesUnordered<LocalBoxFuture<'static, ReadResult>>) {
         if !attempts.is_empty() {
             self.env.spawn(async move { while attempts.next().await.is_some() {} }).detach();
--- a/spoke/src/protocol/transaction.rs
+++ b/spoke/src/protocol/transaction.rs
@@ -104,8 +104,8 @@
         self.finish_statement(session, transaction, result.map_err(AttemptError::from))
     }
 
-    /// The deadline of a statement inside a transaction: at most twice the route's target latency. Nothing of a transaction
-    /// is stored before its commit, so the client may repeat all of it, and should be able to do so early.
+    /// The deadline of a statement inside a transaction: at most twice the route's target latency. Nothing of a
+    /// transaction is stored before its commit, so the client may repeat all of it, and should be able to do so early.
     fn response_deadline(&self, route: &MatchedRoute, deadline: Duration) -> Duration {
         route.target_latency.map_or(deadline, |latency| deadline.min(self.env.now() + latency * 2))
     }
@@ -126,7 +126,8 @@
                 StatementResponse { rows: reply.rows, ..response(Ok(tag), reply.position) }
             }
             Err(_) => {
-                // Its COMMIT was never sent: whatever the outcome of this statement, nothing of the transaction is stored.
+                // Its COMMIT was never sent: whatever the outcome of this statement, nothing of the transaction is
+                // stored.
                 session.borrow_mut().transaction = Some(transaction);
                 increment(&self.counters.refused);
                 self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost))
--- a/spoke/src/protocol/write.rs
+++ b/spoke/src/protocol/write.rs
@@ -18,8 +18,8 @@
 };
 
 impl ExecutionContext {
-    /// Executes a single write. It is sent again only if it was certainly not executed; once its bytes may have been sent
-    /// and no response arrived, its outcome is unknown.
+    /// Executes a single write. It is sent again only if it was certainly not executed; once its bytes may have been
+    /// sent and no response arrived, its outcome is unknown.
     pub(super) async fn protocol_write(
         self: &Rc<Self>,
         session: &Rc<RefCell<SessionData>>,
--- a/spoke/src/routing/mod.rs
+++ b/spoke/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Routing decisions: selects the server for a statement and checks whether that selection is still valid. Sends nothing
-//! itself.
+//! Routing decisions: selects the server for a statement and checks whether that selection is still valid. Sends
+//! nothing itself.
 
 use std::{rc::Rc, time::Duration};
 
@@ -78,7 +78,8 @@
     /// Checks whether this node may accept new work.
     ///
     /// # Errors
-    /// `ZoneEvacuated` if its zone is evacuated, `Unconfirmed` without a recent confirmation by the leading control node.
+    /// `ZoneEvacuated` if its zone is evacuated, `Unconfirmed` without a recent confirmation by the leading control
+    /// node.
     pub fn check_admission(&self) -> Result<(), ErrorKind> {
         self.check_service(Duration::ZERO)
     }
@@ -129,7 +130,8 @@
         })
     }
 
-    /// The statement timeout and the idle timeout of a transaction: the operator's limits, otherwise the bounds' values.
+    /// The statement timeout and the idle timeout of a transaction: the operator's limits, otherwise the bounds'
+    /// values.
     pub fn default_timeouts(&self) -> (Duration, Duration) {
         let view = self.journal.view();
         let limits = view.image.as_ref().and_then(|i| i.limits).unwrap_or_default();
@@ -140,8 +142,8 @@
         )
     }
 
-    /// Whether a server must receive no new work because it is draining, unreachable or in an evacuated zone. Evaluated for
-    /// every statement.
+    /// Whether a server must receive no new work because it is draining, unreachable or in an evacuated zone. Evaluated
+    /// for every statement.
     fn is_excluded(&self, view: &View, server: &str, is_primary: bool) -> bool {
         let now = self.env.now();
         let Some(state) = view.servers.get(server) else { return true };
@@ -268,8 +270,8 @@
         }
     }
 
-    /// Chooses one of the candidates by weight and load. One attempt in eight goes to a server outside the eligible set that
-    /// has sample budget left.
+    /// Chooses one of the candidates by weight and load. One attempt in eight goes to a server outside the eligible set
+    /// that has sample budget left.
     fn choose_server(
         &self,
         route: &MatchedRoute,
@@ -292,8 +294,8 @@
             }
             None => {
                 let eligible: Vec<_> = candidates.iter().filter(|(s, _)| list.eligible.contains(s)).collect();
-                // With no eligible candidate, fails open to the remaining ones: never to an excluded server, and never to
-                // one that the route does not allow.
+                // With no eligible candidate, fails open to the remaining ones: never to an excluded server, and never
+                // to one that the route does not allow.
                 let rows: Vec<_> = if eligible.is_empty() { candidates.iter().collect() } else { eligible };
                 let pairs: Vec<(f64, f64)> = rows
                     .iter()
@@ -310,8 +312,8 @@
     /// Selects the server for a write or a transaction of a group whose servers confirm commits.
     ///
     /// # Errors
-    /// `NoPrimary` without a valid lease; `NoServer` if the primary does not respond to this node, which another node may
-    /// still be able to reach.
+    /// `NoPrimary` without a valid lease; `NoServer` if the primary does not respond to this node, which another node
+    /// may still be able to reach.
     pub fn route_to_primary(&self, group: &str) -> Result<Target, ErrorKind> {
         let target = self.valid_lease(&self.journal.view(), group)?;
         if self.is_unresponsive(&target.server) { Err(ErrorKind::NoServer) } else { Ok(target) }
@@ -325,17 +327,18 @@
             .is_some_and(|t| self.env.now() > t + self.bounds.server_missed_after() / 2)
     }
 
-    /// Whether this node holds a valid lease for the target as primary. Work begun under the lease may finish without it:
-    /// the server itself refuses once another server is primary, and no commit of another primary is acknowledged while
-    /// this lease is outstanding.
+    /// Whether this node holds a valid lease for the target as primary. Work begun under the lease may finish without
+    /// it: the server itself refuses once another server is primary, and no commit of another primary is acknowledged
+    /// while this lease is outstanding.
     pub fn holds_lease(&self, target: &Target) -> bool {
         let view = self.journal.view();
         let lease = view.primary_leases.get(&target.group);
         lease.is_some_and(|l| l.server == target.server && self.env.now() < l.valid_until) || self.disabled.no_fence
     }
 
-    /// Selects the server for a read of a group whose servers confirm commits, and the position that the server itself must
-    /// find in its log. Only servers of the eligible set that are neither excluded nor unresponsive are considered.
+    /// Selects the server for a read of a group whose servers confirm commits, and the position that the server itself
+    /// must find in its log. Only servers of the eligible set that are neither excluded nor unresponsive are
+    /// considered.
     pub fn route_confirmed_read(
         &self,
         route: &MatchedRoute,
@@ -417,8 +420,8 @@
         }
     }
 
-    /// Whether the response's metadata satisfies the target's condition. A server that came back without part of its log, or
-    /// that is no longer primary, shows it there.
+    /// Whether the response's metadata satisfies the target's condition. A server that came back without part of its
+    /// log, or that is no longer primary, shows it there.
     pub fn is_satisfied_by(&self, target: &Target, metadata: &ResponseMetadata) -> bool {
         if self.disabled.grow {
             return true;
@@ -435,8 +438,8 @@
         }
     }
 
-    /// Whether a second server of the group holds the commit at this position. If not, requests a position read from the
-    /// replica that is likely to reach it first, or from every replica where `all` is set.
+    /// Whether a second server of the group holds the commit at this position. If not, requests a position read from
+    /// the replica that is likely to reach it first, or from every replica where `all` is set.
     pub fn has_second_copy(&self, target: &Target, position: Position, all: bool) -> bool {
         let view = self.journal.view();
         let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == target.group)) else {
--- a/spoke/src/run.rs
+++ b/spoke/src/run.rs
@@ -135,8 +135,8 @@
         by_server.get(server).map_or(1.0, |p| (p.in_use() + p.waiting()) as f64 / p.limit().max(1) as f64)
     }
 
-    /// Keeps the pools in line with the view, at each change and at least once per `interval`: one pool for each server, limited
-    /// to the node's share while that is valid.
+    /// Keeps the pools in line with the view, at each change and at least once per `interval`: one pool for each
+    /// server, limited to the node's share while that is valid.
     async fn follow_view(self: Rc<Self>, journal: Rc<Journal>, interval: Duration) -> Result<(), Infallible> {
         loop {
             let seen = journal.changed.generation();
@@ -218,7 +218,8 @@
     }
 }
 
-/// The node's part in the exchange with control nodes: reports in heartbeats, and applies acknowledgements and snapshots.
+/// The node's part in the exchange with control nodes: reports in heartbeats, and applies acknowledgements and
+/// snapshots.
 struct NodeRelayHandler {
     env: Env,
     journal: Rc<Journal>,
@@ -281,7 +282,8 @@
         let lost_before = self.journal.view().lost_leases;
         self.journal.append(Event::HeartbeatAck { ack, sent_at });
         if self.journal.view().lost_leases != lost_before {
-            // Sends a heartbeat at once: the leading control node may hold an election as soon as the release is reported.
+            // Sends a heartbeat at once: the leading control node may hold an election as soon as the release is
+            // reported.
             self.urgent_heartbeat.notify_waiters();
         }
     }
@@ -318,8 +320,8 @@
     run_with_protocol(env, config, disabled, None).await
 }
 
-/// Starts a node that uses `protocol` for the servers of groups that confirm commits. Without a protocol, the node does not
-/// use these servers.
+/// Starts a node that uses `protocol` for the servers of groups that confirm commits. Without a protocol, the node does
+/// not use these servers.
 ///
 /// # Errors
 /// If one of its addresses can't be listened on.
@@ -424,12 +426,12 @@
         self.env.log(Component::Pick, "the policy was changed");
     }
 
-    /// Shuts the node down: closes its endpoint once the open sessions have ended or their time is over, and releases leases and
-    /// shares.
+    /// Shuts the node down: closes its endpoint once the open sessions have ended or their time is over, and releases
+    /// leases and shares.
     pub async fn leave(&self) {
         if !self.context.router.disabled.no_linger {
-            // From now on each response asks its client to reconnect to another node; after the grace period, idle sessions
-            // are closed.
+            // From now on each response asks its client to reconnect to another node; after the grace period, idle
+            // sessions are closed.
             self.endpoint.close();
             let grace_end = self.env.now() + self.bounds.evacuation_grace();
             self.wait_until_closed(grace_end).await;
--- a/spoke/tests/flags.rs
+++ b/spoke/tests/flags.rs
@@ -80,8 +80,8 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// On SIGHUP the settings file is read again: invalid settings are rejected with a log line, valid ones are applied. SIGTERM
-/// ends the process with success.
+/// On SIGHUP the settings file is read again: invalid settings are rejected with a log line, valid ones are applied.
+/// SIGTERM ends the process with success.
 #[test]
 fn a_changed_file_is_taken_or_refused_while_the_process_goes_on() {
     use rustix::process::{Pid, Signal, kill_process};
