--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use crate::{
     check,
     load::{self, DOORS, History, Plan, Report},
-    server::{Entry, StatsRow},
+    server::{Entry, StatsResponse},
 };
 
 /// A fleet run.
@@ -80,7 +80,7 @@
 
 /// Sends the standard doorway set to some node until it is taken; gives its sequence text.
 pub async fn configure(env: &Env, layout: &Layout, most: Duration) -> Result<String, String> {
-    let set = load::doorways(&layout.groups(), layout.cap as u64);
+    let set = load::configuration_json(&layout.groups(), layout.cap as u64);
     let end = env.now() + most;
     let mut why = "nobody answered".to_string();
     while env.now() < end {
@@ -176,7 +176,7 @@
     }
     for s in &layout.servers {
         let out = ask(env, s.addr, "GET", "/stats", "").await;
-        if let Some(st) = out.and_then(|r| base::strict::read::<StatsRow>(&r.body).ok()) {
+        if let Some(st) = out.and_then(|r| base::strict::read::<StatsResponse>(&r.body).ok()) {
             if st.most_open > layout.cap as u64 || st.over > 0 {
                 findings.push(format!("{}: {} open at most, {} refused over the cap", s.name, st.most_open, st.over));
             }
--- a/kit/src/load/history.rs
+++ b/kit/src/load/history.rs
@@ -1,6 +1,6 @@
 use std::{cell::RefCell, time::Duration};
 
-use super::Numbers;
+use super::IdSequence;
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,7 +52,7 @@
 #[derive(Default)]
 pub struct History {
     pub events: RefCell<Vec<Event>>,
-    pub numbers: Numbers,
+    pub numbers: IdSequence,
 }
 
 impl History {
--- a/kit/src/load/mod.rs
+++ b/kit/src/load/mod.rs
@@ -12,9 +12,9 @@
 
 pub use history::{End, Event, History, Kind};
 pub use odd::{cut_short, thrice};
-pub use operator::{Emptied, MOVED, Operator, Sent, Sight, Words};
-pub use report::{Report, Row};
-pub use seat::{GAVE_UP, Seat};
+pub use operator::{Emptied, MOVED_ROUTE, Operator, Sent, Sight, Words};
+pub use report::{Report, WorkloadRow};
+pub use seat::{GAVE_UP, ClientSession};
 
 /// A node as the platform hands it to clients.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 pub const DOORS: [(&str, &str, u64); 3] = [("pay", "leader", 200), ("stubs", "bound", 90), ("hours", "session", 150)];
 
 /// The doorway set that the plan's databases need, over three groups.
-pub fn doorways(groups: &[(String, Vec<String>)], cap: u64) -> String {
+pub fn configuration_json(groups: &[(String, Vec<String>)], cap: u64) -> String {
     use base::edge::operator::{Configuration, Group, Route};
     use nanoserde::SerJson;
     let row = |(i, (name, promise, _)): (usize, &(&str, &str, u64))| {
@@ -70,11 +70,11 @@
     let start = env.now();
     let mut jobs = Vec::new();
     for i in 0..plan.sessions {
-        let seat = Seat::new(env, plan, history, i as u64);
+        let seat = ClientSession::new(env, plan, history, i as u64);
         let (stop, left, bell) = (stop.clone(), left.clone(), bell.clone());
         let gap = plan.sessions as f64 / plan.rate;
         jobs.push(env.spawn(async move {
-            seat.work(start, gap, &stop).await;
+            seat.run(start, gap, &stop).await;
             left.set(left.get() - 1);
             bell.notify_waiters();
         }));
@@ -87,9 +87,9 @@
 
 /// Numbers that no two seats share.
 #[derive(Clone, Default)]
-pub struct Numbers(Rc<RefCell<u64>>);
+pub struct IdSequence(Rc<RefCell<u64>>);
 
-impl Numbers {
+impl IdSequence {
     /// The next one.
     pub fn next(&self) -> u64 {
         let mut n = self.0.borrow_mut();
--- a/kit/src/load/odd.rs
+++ b/kit/src/load/odd.rs
@@ -10,16 +10,16 @@
 use super::{End, Event, History, Kind, Node};
 use crate::server::Statement;
 
-const SPAN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn add(key: &str, val: &str) -> String {
+fn add_statement(key: &str, val: &str) -> String {
     Statement { op: "add".into(), key: key.into(), val: val.into(), who: String::new() }.serialize_json()
 }
 
 /// A caller cut off in the middle of a body, at a place where what came could pass for a whole statement.
 pub async fn cut_short(env: &Env, addr: SocketAddr, id: u64) {
-    let Ok(mut io) = env.connect(addr, SPAN).await else { return };
-    let body = add("k1", &format!("cut{id}"));
+    let Ok(mut io) = env.connect(addr, CALL_TIMEOUT).await else { return };
+    let body = add_statement("k1", &format!("cut{id}"));
     let text = format!(
         "POST /db/pay/write HTTP/1.1\r\nhost: portspoke\r\nx-send: cut-{id}\r\ncontent-length: {}\r\n\r\n{body}",
         body.len() + 9
@@ -34,7 +34,7 @@
     env.sleep(Duration::from_millis(20)).await;
 }
 
-fn kept(out: &Option<HttpResponse>) -> &str {
+fn write_outcome(out: &Option<HttpResponse>) -> &str {
     out.as_ref().and_then(|r| r.header(client::WRITE_OUTCOME_HEADER)).unwrap_or("unknown")
 }
 
@@ -43,13 +43,13 @@
     let n = history.numbers.next();
     let (send, val, start) = (format!("twice-{n}"), format!("v{n}"), env.now());
     let call = || async {
-        let mut line = Client::connect(env, node.addr, SPAN, 1 << 16).await.ok()?;
+        let mut line = Client::connect(env, node.addr, CALL_TIMEOUT, 1 << 16).await.ok()?;
         let head = [(client::ATTEMPT_ID_HEADER, send.clone())];
-        line.call("POST", "/db/pay/write", &head, add("k2", &val).into(), SPAN).await.ok()
+        line.call("POST", "/db/pay/write", &head, add_statement("k2", &val).into(), CALL_TIMEOUT).await.ok()
     };
     let (one, two) = futures::future::join(call(), call()).await;
     let three = call().await;
-    let all = [kept(&one), kept(&two), kept(&three)];
+    let all = [write_outcome(&one), write_outcome(&two), write_outcome(&three)];
     let end = match () {
         () if all.contains(&"yes") => End::Good,
         () if all.contains(&"unknown") => End::Unknown,
--- a/kit/src/load/operator.rs
+++ b/kit/src/load/operator.rs
@@ -17,7 +17,7 @@
 use super::Node;
 
 /// The doorway that operators move from group to group.
-pub const MOVED: &str = "moved";
+pub const MOVED_ROUTE: &str = "moved";
 
 /// A change an operator sent, and what became of it.
 #[derive(Clone, Debug)]
@@ -92,10 +92,10 @@
     pub empty: Duration,
 }
 
-const SPAN: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Sets that must never be taken, whatever else goes on.
-const NONSENSE: [&str; 9] = [
+const INVALID_CONFIGURATIONS: [&str; 9] = [
     "",
     "{",
     "[]",
@@ -108,62 +108,62 @@
 ];
 
 impl Operator {
-    fn any(&self) -> SocketAddr {
+    fn random_address(&self) -> SocketAddr {
         let all = self.nodes.len() + self.hubs.len();
         let at = self.env.rand_below(all as u64) as usize;
         self.nodes.iter().chain(&self.hubs).nth(at).expect("there are nodes").addr
     }
 
-    async fn ask(&self, addr: SocketAddr, method: &str, path: &str, body: String) -> Option<(u16, Bytes)> {
-        let out = Client::once(&self.env, addr, method, path, &[], body.into(), SPAN).await.ok()?;
+    async fn request(&self, addr: SocketAddr, method: &str, path: &str, body: String) -> Option<(u16, Bytes)> {
+        let out = Client::once(&self.env, addr, method, path, &[], body.into(), CALL_TIMEOUT).await.ok()?;
         Some((out.status, out.body))
     }
 
-    fn fault(&self, text: String) {
+    fn record_fault(&self, text: String) {
         self.words.faults.borrow_mut().push(text);
     }
 
     /// Reads back the set; checks that it is the newest acknowledged.
     async fn read_back(&self) -> Option<ConfigurationView> {
         let start = self.env.now();
-        let (code, body) = self.ask(self.any(), "GET", "/ops/doorways", String::new()).await?;
+        let (code, body) = self.request(self.random_address(), "GET", "/ops/doorways", String::new()).await?;
         if code != 200 {
             return None;
         }
         let set: ConfigurationView = match base::strict::read(&body) {
             Ok(s) => s,
             Err(e) => {
-                self.fault(format!("a read-back can't be read: {e}"));
+                self.record_fault(format!("a read-back can't be read: {e}"));
                 return None;
             }
         };
         let sent = self.words.sent.borrow();
         let newest = sent.iter().filter(|s| s.acked.is_some_and(|a| a < start)).map(|s| s.sequence).max();
         if newest.is_some_and(|n| set.sequence < n) {
-            self.fault(format!("read back sequence {} at {start:?}, after {newest:?} was acknowledged", set.sequence));
+            self.record_fault(format!("read back sequence {} at {start:?}, after {newest:?} was acknowledged", set.sequence));
         }
         if let Some(s) = sent.iter().find(|s| s.sequence == set.sequence && s.acked.is_some()) {
-            let group = set.doorways.iter().find(|d| d.name == MOVED).map(|d| d.group.clone());
+            let group = set.doorways.iter().find(|d| d.name == MOVED_ROUTE).map(|d| d.group.clone());
             if !s.group.is_empty() && group.as_ref() != Some(&s.group) {
-                self.fault(format!("sequence {} reads back as {group:?}, not {}", s.sequence, s.group));
+                self.record_fault(format!("sequence {} reads back as {group:?}, not {}", s.sequence, s.group));
             }
         }
         Some(set)
     }
 
-    async fn change(&self, after: u64, group: &str, addr: SocketAddr) -> bool {
-        let put = vec![Route::with_defaults(MOVED, group, "any")];
+    async fn move_route(&self, after: u64, group: &str, addr: SocketAddr) -> bool {
+        let put = vec![Route::with_defaults(MOVED_ROUTE, group, "any")];
         let body = ConfigurationChange { put, ..ConfigurationChange::based_on(after) }.serialize_json();
-        self.send("PATCH", "/ops/doorways", body, after + 1, group, addr).await
+        self.send_change("PATCH", "/ops/doorways", body, after + 1, group, addr).await
     }
 
-    async fn send(&self, method: &str, path: &str, body: String, seq: u64, group: &str, addr: SocketAddr) -> bool {
+    async fn send_change(&self, method: &str, path: &str, body: String, seq: u64, group: &str, addr: SocketAddr) -> bool {
         let at = {
             let mut sent = self.words.sent.borrow_mut();
             sent.push(Sent { sequence: seq, group: group.into(), sent: self.env.now(), acked: None, void: false });
             sent.len() - 1
         };
-        let out = self.ask(addr, method, path, body).await;
+        let out = self.request(addr, method, path, body).await;
         let now = self.env.now();
         let w = &self.words;
         let mut sent = w.sent.borrow_mut();
@@ -174,7 +174,7 @@
                 let told = String::from_utf8_lossy(&body).to_string();
                 if method == "PATCH" && told != format!("{{\"sequence\":{seq}}}") {
                     drop(sent);
-                    self.fault(format!("a change after {} was acknowledged as {told}", seq - 1));
+                    self.record_fault(format!("a change after {} was acknowledged as {told}", seq - 1));
                 }
                 true
             }
@@ -192,43 +192,43 @@
         }
     }
 
-    fn group(&self) -> String {
+    fn random_group(&self) -> String {
         self.groups[self.env.rand_below(self.groups.len() as u64) as usize].0.clone()
     }
 
-    async fn race(&self, after: u64) {
-        let (a, b) = (self.group(), self.group());
+    async fn race_changes(&self, after: u64) {
+        let (a, b) = (self.random_group(), self.random_group());
         let (one, two) =
-            futures::future::join(self.change(after, &a, self.any()), self.change(after, &b, self.any())).await;
+            futures::future::join(self.move_route(after, &a, self.random_address()), self.move_route(after, &b, self.random_address())).await;
         if one && two {
-            self.fault(format!("two racing changes after {after} were both acknowledged"));
+            self.record_fault(format!("two racing changes after {after} were both acknowledged"));
         }
     }
 
-    async fn nonsense(&self) {
-        let text = NONSENSE[self.env.rand_below(NONSENSE.len() as u64) as usize];
+    async fn send_invalid(&self) {
+        let text = INVALID_CONFIGURATIONS[self.env.rand_below(INVALID_CONFIGURATIONS.len() as u64) as usize];
         let method = if self.env.rand_below(2) == 0 { "PUT" } else { "PATCH" };
-        if let Some((code, _)) = self.ask(self.any(), method, "/ops/doorways", text.into()).await
+        if let Some((code, _)) = self.request(self.random_address(), method, "/ops/doorways", text.into()).await
             && code < 400
         {
-            self.fault(format!("{method} of {text:?} was answered {code}"));
+            self.record_fault(format!("{method} of {text:?} was answered {code}"));
         }
     }
 
-    async fn empty(&self) {
+    async fn evacuate_and_restore_zone(&self) {
         let mut areas: Vec<String> = self.nodes.iter().map(|n| n.area.clone()).collect();
         areas.sort();
         areas.dedup();
         let area = areas[self.env.rand_below(areas.len() as u64) as usize].clone();
         let path = format!("/ops/areas/{area}/empty");
-        if let Some((200, _)) = self.ask(self.any(), "POST", &path, String::new()).await {
+        if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
             self.words.emptied(&area, self.env.now(), self.empty);
         }
         self.env.sleep(Duration::from_millis(6000 + self.env.rand_below(4000))).await;
         self.words.taken_back(&area, self.env.now());
         let path = format!("/ops/areas/{area}/take-back");
         for _ in 0..60 {
-            if let Some((200, _)) = self.ask(self.any(), "POST", &path, String::new()).await {
+            if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
                 return;
             }
             self.env.sleep(Duration::from_millis(500)).await;
@@ -242,16 +242,16 @@
             let Some(set) = self.read_back().await else { continue };
             match self.env.rand_below(10) {
                 0..=3 => {
-                    self.change(set.sequence, &self.group(), self.any()).await;
+                    self.move_route(set.sequence, &self.random_group(), self.random_address()).await;
                 }
-                4..=5 => self.race(set.sequence).await,
+                4..=5 => self.race_changes(set.sequence).await,
                 6
                     // From an older state: it must lose.
-                    if set.sequence > 0 && self.change(set.sequence - 1, &self.group(), self.any()).await => {
-                        self.fault(format!("a change after {} was taken at {}", set.sequence - 1, set.sequence));
+                    if set.sequence > 0 && self.move_route(set.sequence - 1, &self.random_group(), self.random_address()).await => {
+                        self.record_fault(format!("a change after {} was taken at {}", set.sequence - 1, set.sequence));
                     }
-                7..=8 => self.nonsense().await,
-                _ if self.areas => self.empty().await,
+                7..=8 => self.send_invalid().await,
+                _ if self.areas => self.evacuate_and_restore_zone().await,
                 _ => {}
             }
         }
@@ -263,13 +263,13 @@
         while !stop.get() {
             self.env.sleep(Duration::from_millis(150 + self.env.rand_below(200))).await;
             if !line.as_ref().is_some_and(Client::is_open) {
-                line = Client::connect(&self.env, node.addr, SPAN, 1 << 20).await.ok();
+                line = Client::connect(&self.env, node.addr, CALL_TIMEOUT, 1 << 20).await.ok();
             }
             let Some(l) = &mut line else { continue };
             let start = self.env.now();
-            let path = format!("/db/{MOVED}/read");
+            let path = format!("/db/{MOVED_ROUTE}/read");
             let body = Bytes::from_static(b"{\"op\":\"get\",\"key\":\"none\"}");
-            let Ok(out) = l.call("POST", &path, &[], body, SPAN).await else {
+            let Ok(out) = l.call("POST", &path, &[], body, CALL_TIMEOUT).await else {
                 line = None;
                 continue;
             };
--- a/kit/src/load/report.rs
+++ b/kit/src/load/report.rs
@@ -6,7 +6,7 @@
 
 strict! {
     /// One kind of work.
-    pub struct Row {
+    pub struct WorkloadRow {
         pub what: String,
         pub good: u64,
         pub refused: u64,
@@ -22,7 +22,7 @@
 
 strict! {
     /// One reason for work not done.
-    pub struct Why {
+    pub struct FailureReason {
         pub why: String,
         pub count: u64,
     }
@@ -31,18 +31,18 @@
 strict! {
     /// What a run came to.
     pub struct Report {
-        pub rows: Vec<Row>,
+        pub rows: Vec<WorkloadRow>,
         /// Answered as asked, of all but those whose callers left.
         pub share: f64,
         /// For each second: asked, and answered as asked.
         pub asked: Vec<u64>,
         pub good: Vec<u64>,
-        pub whys: Vec<Why>,
+        pub whys: Vec<FailureReason>,
         pub findings: Vec<String>,
     }
 }
 
-fn what(e: &Event) -> String {
+fn workload_label(e: &Event) -> String {
     let kind = match &e.kind {
         Kind::Write { adds, .. } if adds.len() > 1 => "transaction",
         Kind::Write { .. } => "write",
@@ -57,7 +57,7 @@
     pub fn new(events: &[Event], findings: Vec<String>) -> Self {
         let mut all: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
         for e in events {
-            all.entry(what(e)).or_default().push(e);
+            all.entry(workload_label(e)).or_default().push(e);
         }
         let rows = all
             .into_iter()
@@ -70,7 +70,7 @@
                     let i = ((times.len() as f64 * part).ceil() as usize).saturating_sub(1);
                     times.get(i).map_or(0.0, |t| t.as_secs_f64() * 1000.0)
                 };
-                Row {
+                WorkloadRow {
                     what,
                     good: count(End::Good),
                     refused: count(End::Refused),
@@ -100,7 +100,7 @@
             }
         }
         let (a, g): (u64, u64) = (asked.iter().sum(), good.iter().sum());
-        let whys = whys.into_iter().map(|(why, count)| Why { why, count }).collect();
+        let whys = whys.into_iter().map(|(why, count)| FailureReason { why, count }).collect();
         Self { rows, share: if a == 0 { 0.0 } else { g as f64 / a as f64 }, asked, good, whys, findings }
     }
 
--- a/kit/src/platform.rs
+++ b/kit/src/platform.rs
@@ -10,7 +10,7 @@
 };
 use nanoserde::SerJson;
 
-use crate::server::Control;
+use crate::server::RoleAssignment;
 
 /// A server the platform knows.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
             let now = self.named.borrow().get(&k.group).cloned();
             if let Some(n) = now {
                 let addr = self.known.iter().find(|x| x.name == n.server).map(|x| x.addr.to_string());
-                let body = Control {
+                let body = RoleAssignment {
                     leads: n.server == k.name,
                     line: n.line,
                     addr: addr.unwrap_or_default(),
--- a/kit/src/server/follow.rs
+++ b/kit/src/server/follow.rs
@@ -14,23 +14,23 @@
     }
 }
 
-const SPAN: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl Server {
     /// Takes the log from the leader, for as long as this server follows one.
     pub(super) async fn follow(self: Rc<Self>) -> Result<(), Infallible> {
         loop {
-            let Some(addr) = self.leader.get().filter(|_| !self.leads.get() && !self.stalled.get()) else {
+            let Some(addr) = self.primary_addr.get().filter(|_| !self.is_primary.get() && !self.stalled.get()) else {
                 self.env.sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let moved = self.bell.wait_until(|| (self.leader.get() != Some(addr)).then_some(()));
-            let join = Client::connect(&self.env, addr, SPAN, 64 << 20);
+            let moved = self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
+            let join = Client::connect(&self.env, addr, CALL_TIMEOUT, 64 << 20);
             let Either::Left((Ok(mut line), _)) = select(pin!(join), pin!(moved)).await else {
                 self.env.sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            while self.leader.get() == Some(addr) && !self.leads.get() && !self.stalled.get() {
+            while self.primary_addr.get() == Some(addr) && !self.is_primary.get() && !self.stalled.get() {
                 let after = self.log.borrow().len() as u64;
                 let path = {
                     // The last entry is named by its line and its attempt: a leader that lost a part of its log may have
@@ -40,10 +40,10 @@
                     format!("/log?after={after}&of={of}&send={send}&line={}", self.line.get())
                 };
                 // A leader that changed is left at once, whatever the old one still owes.
-                let moved = self.bell.wait_until(|| (self.leader.get() != Some(addr)).then_some(()));
-                let call = line.call("GET", &path, &[], Bytes::new(), SPAN);
+                let moved = self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
+                let call = line.call("GET", &path, &[], Bytes::new(), CALL_TIMEOUT);
                 let Either::Left((Ok(out), _)) = select(pin!(call), pin!(moved)).await else { break };
-                if self.leader.get() != Some(addr) || self.leads.get() || self.stalled.get() {
+                if self.primary_addr.get() != Some(addr) || self.is_primary.get() || self.stalled.get() {
                     break;
                 }
                 match out.status {
@@ -56,7 +56,7 @@
                             self.push(e);
                         }
                     }
-                    409 if after > 0 => self.cut(after - 1),
+                    409 if after > 0 => self.truncate_log(after - 1),
                     _ => {
                         self.env.sleep(Duration::from_millis(50)).await;
                         break;
--- a/kit/src/server/mod.rs
+++ b/kit/src/server/mod.rs
@@ -21,8 +21,8 @@
     supervisor::Supervisor,
 };
 
-pub use serve::{Control, Rows, Statement, StatsRow, Trouble};
-pub use store::{Entry, Op, Record};
+pub use serve::{RoleAssignment, Rows, Statement, StatsResponse, FaultRequest};
+pub use store::{Entry, Op, LogRecord};
 
 /// How a stand-in server is set up.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     /// Reads that came while it was sick.
     pub spoilt: u64,
     /// When the newest statement came.
-    pub last: Duration,
+    pub last_statement_at: Duration,
 }
 
 /// A running stand-in server.
@@ -69,14 +69,14 @@
     pub(crate) log: RefCell<Vec<Entry>>,
     pub(crate) durable: Cell<u64>,
     pub(crate) state: RefCell<BTreeMap<String, Vec<String>>>,
-    pub(crate) leads: Cell<bool>,
+    pub(crate) is_primary: Cell<bool>,
     pub(crate) line: Cell<u64>,
     /// The identity of the log; a new one where the data folder was empty.
-    pub(crate) born: Cell<u64>,
-    pub(crate) leader: Cell<Option<SocketAddr>>,
-    pub(crate) file_at: Cell<u64>,
-    pub(crate) bell: Notify,
-    pub(crate) started: Duration,
+    pub(crate) log_id: Cell<u64>,
+    pub(crate) primary_addr: Cell<Option<SocketAddr>>,
+    pub(crate) file_offset: Cell<u64>,
+    pub(crate) state_changed: Notify,
+    pub(crate) started_at: Duration,
     pub draining: Cell<bool>,
     /// So many statements are run but never answered.
     pub mute: Cell<u64>,
@@ -86,12 +86,12 @@
     pub sick: Cell<bool>,
     /// A follower that no longer receives.
     pub stalled: Cell<bool>,
-    pub(crate) open: Cell<usize>,
-    pub(crate) busy: Cell<usize>,
+    pub(crate) open_connections: Cell<usize>,
+    pub(crate) running_statements: Cell<usize>,
     pub stats: RefCell<Stats>,
     /// When draining was first told to a node and taken.
-    pub drain_told: Cell<Option<Duration>>,
-    pub(crate) tree: RefCell<Option<Supervisor>>,
+    pub drain_reported_at: Cell<Option<Duration>>,
+    pub(crate) supervisor: RefCell<Option<Supervisor>>,
 }
 
 impl Server {
@@ -104,46 +104,46 @@
             log: RefCell::default(),
             durable: Cell::new(0),
             state: RefCell::default(),
-            leads: Cell::new(false),
+            is_primary: Cell::new(false),
             line: Cell::new(0),
-            born: Cell::new(env.rand() >> 11 | 1),
-            leader: Cell::new(None),
-            file_at: Cell::new(0),
-            bell: Notify::default(),
-            started: env.now(),
+            log_id: Cell::new(env.rand() >> 11 | 1),
+            primary_addr: Cell::new(None),
+            file_offset: Cell::new(0),
+            state_changed: Notify::default(),
+            started_at: env.now(),
             draining: Cell::new(false),
             mute: Cell::new(0),
             late: Cell::new(0),
             sick: Cell::new(false),
             stalled: Cell::new(false),
-            open: Cell::new(0),
-            busy: Cell::new(0),
+            open_connections: Cell::new(0),
+            running_statements: Cell::new(0),
             stats: RefCell::default(),
-            drain_told: Cell::new(None),
-            tree: RefCell::default(),
+            drain_reported_at: Cell::new(None),
+            supervisor: RefCell::default(),
         });
-        me.recall().await?;
+        me.load_data_file().await?;
         let mut tree = Supervisor::new(env);
         let s = me.clone();
         tree.child("flush", move || s.clone().flush());
         let s = me.clone();
         tree.child("follow", move || s.clone().follow());
         let s = me.clone();
-        tree.child("report", move || s.clone().reports());
+        tree.child("report", move || s.clone().send_reports());
         let (s, e) = (me.clone(), env.clone());
         let door = Endpoint::new(1000, 1 << 20);
         tree.child("door", move || {
             let s = s.clone();
-            let make = Rc::new(move || Rc::new(serve::Line::new(&s)) as Rc<dyn RequestHandler>);
+            let make = Rc::new(move || Rc::new(serve::Connection::new(&s)) as Rc<dyn RequestHandler>);
             http::serve(e.clone(), sock.clone(), door.clone(), make)
         });
-        *me.tree.borrow_mut() = Some(tree);
+        *me.supervisor.borrow_mut() = Some(tree);
         env.log(Component::Kit, format!("server {} at {}", me.setup.name, me.setup.addr));
         Ok(me)
     }
 
     /// The newest position that is on disk.
-    pub fn place(&self) -> Position {
+    pub fn durable_position(&self) -> Position {
         let index = self.durable.get();
         let line = match index {
             0 => 0,
@@ -153,8 +153,8 @@
     }
 
     /// From 0, warm, to 1, stone cold.
-    pub fn cold(&self) -> f64 {
-        let up = self.env.now().saturating_sub(self.started);
+    pub fn coldness(&self) -> f64 {
+        let up = self.env.now().saturating_sub(self.started_at);
         if self.setup.warm.is_zero() || up >= self.setup.warm {
             return 0.0;
         }
@@ -168,6 +168,6 @@
 
     /// Whether the server holds itself for the leader.
     pub fn leads(&self) -> bool {
-        self.leads.get()
+        self.is_primary.get()
     }
 }
