--- a/kit/src/check.rs
+++ b/kit/src/check.rs
@@ -11,15 +11,15 @@
 };
 
 /// How many findings are told.
-const MOST: usize = 40;
+const MAX_FINDINGS: usize = 40;
 
 /// All findings; `logs` gives for each database the log of the server that leads it in the end.
 pub fn history(events: &[Event], logs: &BTreeMap<&str, Vec<Entry>>, fresh: Duration) -> Vec<String> {
     let mut out = Vec::new();
     for (db, log) in logs {
         let all: Vec<&Event> = events.iter().filter(|e| e.db == *db).collect();
-        writes(db, &all, log, &mut out);
-        reads(db, &all, log, fresh, &mut out);
+        check_writes(db, &all, log, &mut out);
+        check_reads(db, &all, log, fresh, &mut out);
     }
     for e in events {
         if let Kind::Value { want, got } = &e.kind
@@ -28,11 +28,11 @@
             out.push(format!("session value: s{} set {want} and saw {got:?} at {:?}", e.session, e.done));
         }
     }
-    out.truncate(MOST);
+    out.truncate(MAX_FINDINGS);
     out
 }
 
-fn writes(db: &str, events: &[&Event], log: &[Entry], out: &mut Vec<String>) {
+fn check_writes(db: &str, events: &[&Event], log: &[Entry], out: &mut Vec<String>) {
     let mut held: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for e in log.iter().filter(|e| !(e.send.is_empty() && e.ops.is_empty())) {
         held.entry(e.send.as_str()).or_default().push(e);
@@ -69,7 +69,7 @@
     }
 }
 
-fn reads(db: &str, events: &[&Event], log: &[Entry], fresh: Duration, out: &mut Vec<String>) {
+fn check_reads(db: &str, events: &[&Event], log: &[Entry], fresh: Duration, out: &mut Vec<String>) {
     // For each key: acknowledged values with the time of the acknowledgement, and who wrote them.
     let mut acked: BTreeMap<&str, Vec<(Duration, &str, u64)>> = BTreeMap::new();
     let mut tried: BTreeSet<(&str, &str)> = BTreeSet::new();
--- a/kit/src/check_orders.rs
+++ b/kit/src/check_orders.rs
@@ -65,18 +65,18 @@
 /// Everything that no order of events explains; `start` is the version in force before, with its mark.
 pub fn orders(history: &History, start: (u64, &str)) -> Vec<String> {
     let mut found = Vec::new();
-    let mut chain = chain(history, start, &mut found);
+    let mut chain = build_chain(history, start, &mut found);
     if !found.is_empty() {
         return found;
     }
-    bound(history, &mut chain);
-    times(&chain, &mut found);
-    refusals(history, &chain, &mut found);
+    narrow_intervals(history, &mut chain);
+    check_intervals(&chain, &mut found);
+    check_refusals(history, &chain, &mut found);
     found
 }
 
 /// The versions that were certainly in force, from the first to the last; empty spans of time are found later.
-fn chain(history: &History, start: (u64, &str), found: &mut Vec<String>) -> Vec<Version> {
+fn build_chain(history: &History, start: (u64, &str), found: &mut Vec<String>) -> Vec<Version> {
     let sent: BTreeMap<&str, &Order> = history.attempts.iter().map(|a| (a.order.mark.as_str(), &a.order)).collect();
     let taken = history.attempts.iter().filter(|a| a.heard == Heard::Taken).map(|a| a.order.mark.as_str());
     let read = history.reads.iter().map(|r| r.mark.as_str());
@@ -126,7 +126,7 @@
 }
 
 /// Narrows when each version can have come, by all that was seen.
-fn bound(history: &History, chain: &mut [Version]) {
+fn narrow_intervals(history: &History, chain: &mut [Version]) {
     for version in chain.iter_mut().skip(1) {
         let all: Vec<&Attempt> = history.attempts.iter().filter(|a| a.order.mark == version.mark).collect();
         let first = all.iter().map(|a| a.call).min().unwrap_or_default();
@@ -149,7 +149,7 @@
     }
 }
 
-fn times(chain: &[Version], found: &mut Vec<String>) {
+fn check_intervals(chain: &[Version], found: &mut Vec<String>) {
     for v in chain.iter().skip(1).filter(|v| v.earliest > v.latest) {
         found
             .push(format!("{} ({}) must have come after {:?} and before {:?}", v.number, v.mark, v.earliest, v.latest));
@@ -157,7 +157,7 @@
 }
 
 /// Refusals of orders that were taken, and of those that nothing stood against.
-fn refusals(history: &History, chain: &[Version], found: &mut Vec<String>) {
+fn check_refusals(history: &History, chain: &[Version], found: &mut Vec<String>) {
     for a in history.attempts.iter().filter(|a| a.heard == Heard::Refused) {
         let mark = &a.order.mark;
         if chain.iter().any(|v| v.mark == *mark) {
--- a/kit/src/fleet/layout.rs
+++ b/kit/src/fleet/layout.rs
@@ -14,7 +14,7 @@
 
 /// One stand-in server.
 #[derive(Clone, Debug)]
-pub struct Backend {
+pub struct StandInServer {
     pub name: String,
     pub group: String,
     pub area: String,
@@ -29,7 +29,7 @@
     pub areas: Vec<String>,
     pub hubs: Vec<Machine>,
     pub spokes: Vec<Machine>,
-    pub servers: Vec<Backend>,
+    pub servers: Vec<StandInServer>,
     pub platform: SocketAddr,
     pub cap: usize,
 }
@@ -48,7 +48,7 @@
         let mut servers = Vec::new();
         for g in 0..3 {
             for s in 0..4 {
-                servers.push(Backend {
+                servers.push(StandInServer {
                     name: format!("g{}-{}", g + 1, ["a", "b", "c", "d"][s]),
                     group: format!("g{}", g + 1),
                     area: area(s),
@@ -61,7 +61,7 @@
     }
 
     /// Free loopback ports of this machine.
-    pub fn ports() -> impl FnMut() -> SocketAddr {
+    pub fn free_loopback_ports() -> impl FnMut() -> SocketAddr {
         let mut held: Vec<TcpListener> = Vec::new();
         move || {
             let sock = TcpListener::bind("127.0.0.1:0").expect("a free loopback port");
@@ -82,7 +82,7 @@
         self.group_by(|_| true)
     }
 
-    fn group_by(&self, test: impl Fn(&&Backend) -> bool) -> Vec<(String, Vec<String>)> {
+    fn group_by(&self, test: impl Fn(&&StandInServer) -> bool) -> Vec<(String, Vec<String>)> {
         let mut out: Vec<(String, Vec<String>)> = Vec::new();
         for s in self.servers.iter().filter(test) {
             match out.iter_mut().find(|g| g.0 == s.group) {
--- a/kit/src/fleet/members.rs
+++ b/kit/src/fleet/members.rs
@@ -10,7 +10,7 @@
 use super::ask;
 
 /// Puts a server into a group or takes it out, through some node: reads the set back and changes that one group.
-pub async fn member(
+pub async fn change_membership(
     env: &Env,
     node: SocketAddr,
     group: &str,
@@ -39,7 +39,7 @@
 pub async fn member_somehow(env: &Env, nodes: &[SocketAddr], group: &str, server: &str, join: bool) -> bool {
     for _ in 0..60 {
         let at = env.rand_below(nodes.len() as u64) as usize;
-        match member(env, nodes[at], group, server, join).await {
+        match change_membership(env, nodes[at], group, server, join).await {
             Ok(r) if r.status == 200 => return true,
             Ok(r) if r.status == 422 && !String::from_utf8_lossy(&r.body).contains("still being") => return false,
             // Already there, perhaps by an answer that was lost.
--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -6,11 +6,11 @@
 mod scale;
 mod script;
 
-pub use layout::{Backend, Layout, Machine};
-pub use members::{member, member_somehow};
-pub use procs::Procs;
-pub use scale::{Idle, Point, Scale, idle, scale};
-pub use script::{Fault, Step, parse};
+pub use layout::{StandInServer, Layout, Machine};
+pub use members::{change_membership, member_somehow};
+pub use procs::FleetProcesses;
+pub use scale::{IdleSessions, ScalePoint, ScaleRun, measure_idle_sessions, run_scale};
+pub use script::{FleetAction, Step, parse};
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf, rc::Rc, time::Duration};
 
@@ -37,12 +37,12 @@
     pub bins: PathBuf,
 }
 
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends one request to a process of the fleet.
 pub async fn ask(env: &Env, addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<HttpResponse> {
     let body = Bytes::copy_from_slice(body.as_bytes());
-    Client::once(env, addr, method, path, &[], body, CALL).await.ok()
+    Client::once(env, addr, method, path, &[], body, CALL_TIMEOUT).await.ok()
 }
 
 /// Waits until every spoke serves, holds a share of every server, and every group has a proven leader.
@@ -50,7 +50,7 @@
     let end = env.now() + most;
     let mut why = String::new();
     while env.now() < end {
-        match whole(env, layout).await {
+        match check_ready(env, layout).await {
             Ok(()) => return Ok(()),
             Err(w) => why = w,
         }
@@ -59,7 +59,7 @@
     Err(why)
 }
 
-async fn whole(env: &Env, layout: &Layout) -> Result<(), String> {
+async fn check_ready(env: &Env, layout: &Layout) -> Result<(), String> {
     for n in &layout.spokes {
         let out = ask(env, n.http, "GET", "/status", "").await.ok_or(format!("{} does not answer", n.name))?;
         let text = String::from_utf8_lossy(&out.body).to_string();
@@ -120,8 +120,8 @@
 
 /// Runs the whole thing and reports.
 pub async fn run(env: &Env, run: &Run) -> Result<Report, String> {
-    let layout = Layout::new(run.machines, run.cap, Layout::ports());
-    let mut procs = Procs::start(run, &layout)?;
+    let layout = Layout::new(run.machines, run.cap, Layout::free_loopback_ports());
+    let mut procs = FleetProcesses::start(run, &layout)?;
     let seq = configure(env, &layout, Duration::from_secs(20)).await?;
     println!("doorway set taken: {seq}");
     ready(env, &layout, Duration::from_secs(20)).await?;
@@ -151,12 +151,12 @@
     let start = env.now();
     for step in &run.steps {
         env.sleep((start + step.at).saturating_sub(env.now())).await;
-        let text = script::carry_out(env, &layout, &mut procs, &step.fault).await;
+        let text = script::execute(env, &layout, &mut procs, &step.action).await;
         println!("{:>6.1} s: {text}", (env.now() - start).as_secs_f64());
     }
     let (_job, done, bell) = drive;
     bell.wait_until(|| done.get().then_some(())).await;
-    procs.revive(&layout)?;
+    procs.start_all(&layout)?;
     env.sleep(Duration::from_secs(3)).await;
     let mut findings = Vec::new();
     let mut logs: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
--- a/kit/src/fleet/procs.rs
+++ b/kit/src/fleet/procs.rs
@@ -9,24 +9,24 @@
 
 use super::{Layout, Run};
 
-struct Proc {
+struct FleetProcess {
     args: Vec<String>,
-    bin: String,
+    program: String,
     child: Option<Child>,
-    area: String,
+    zone: String,
 }
 
 /// The processes of a fleet; all are ended when this is dropped.
-pub struct Procs {
-    map: BTreeMap<String, Proc>,
+pub struct FleetProcesses {
+    processes: BTreeMap<String, FleetProcess>,
     folder: std::path::PathBuf,
     bins: std::path::PathBuf,
 }
 
-impl Procs {
+impl FleetProcesses {
     /// Starts every process of a layout.
     pub fn start(run: &Run, layout: &Layout) -> Result<Self, String> {
-        let mut me = Self { map: BTreeMap::new(), folder: run.folder.clone(), bins: run.bins.clone() };
+        let mut me = Self { processes: BTreeMap::new(), folder: run.folder.clone(), bins: run.bins.clone() };
         fs::create_dir_all(&run.folder).map_err(|e| format!("{}: {e}", run.folder.display()))?;
         let file = |name: &str, text: String| -> Result<String, String> {
             let path = run.folder.join(name);
@@ -61,13 +61,13 @@
     }
 
     fn add(&mut self, name: &str, bin: &str, area: &str, args: Vec<String>) -> Result<(), String> {
-        self.map.insert(name.into(), Proc { args, bin: bin.into(), child: None, area: area.into() });
+        self.processes.insert(name.into(), FleetProcess { args, program: bin.into(), child: None, zone: area.into() });
         self.launch(name)
     }
 
     /// Starts a process that is not running.
     pub fn launch(&mut self, name: &str) -> Result<(), String> {
-        let p = self.map.get_mut(name).ok_or(format!("no process {name}"))?;
+        let p = self.processes.get_mut(name).ok_or(format!("no process {name}"))?;
         if p.child.is_some() {
             return Ok(());
         }
@@ -77,7 +77,7 @@
         };
         let log = open(&self.folder.join(format!("{name}.log")))?;
         let err = log.try_clone().map_err(|e| e.to_string())?;
-        let bin = self.bins.join(&p.bin);
+        let bin = self.bins.join(&p.program);
         let child = Command::new(&bin).args(&p.args).stdin(std::process::Stdio::null()).stdout(log).stderr(err).spawn();
         p.child = Some(child.map_err(|e| format!("{}: {e}", bin.display()))?);
         Ok(())
@@ -85,34 +85,34 @@
 
     /// The number of a process that runs.
     pub fn pid(&self, name: &str) -> Option<u32> {
-        Some(self.map.get(name)?.child.as_ref()?.id())
+        Some(self.processes.get(name)?.child.as_ref()?.id())
     }
 
     /// Names of all processes in an area.
     pub fn area(&self, area: &str) -> Vec<String> {
-        self.map.iter().filter(|(_, p)| p.area == area).map(|(n, _)| n.clone()).collect()
+        self.processes.iter().filter(|(_, p)| p.zone == area).map(|(n, _)| n.clone()).collect()
     }
 
     /// Kills a process at once.
     pub fn kill(&mut self, name: &str) {
-        if let Some(mut c) = self.map.get_mut(name).and_then(|p| p.child.take()) {
+        if let Some(mut c) = self.processes.get_mut(name).and_then(|p| p.child.take()) {
             let _ = c.kill();
             let _ = c.wait();
         }
     }
 
     /// Asks a process to end and waits until it has.
-    pub fn end(&mut self, name: &str) -> bool {
+    pub fn terminate(&mut self, name: &str) -> bool {
         self.signal(name, Signal::TERM);
-        match self.map.get_mut(name).and_then(|p| p.child.take()) {
+        match self.processes.get_mut(name).and_then(|p| p.child.take()) {
             Some(mut c) => c.wait().is_ok_and(|s| s.success()),
             None => false,
         }
     }
 
     /// Whether a process asked to end has ended; reaps it.
-    pub fn ended(&mut self, name: &str) -> Option<bool> {
-        let p = self.map.get_mut(name)?;
+    pub fn try_reap(&mut self, name: &str) -> Option<bool> {
+        let p = self.processes.get_mut(name)?;
         let out = p.child.as_mut()?.try_wait().ok()??;
         p.child = None;
         Some(out.success())
@@ -120,14 +120,14 @@
 
     /// Sends a signal to a process.
     pub fn signal(&self, name: &str, sig: Signal) {
-        let Some(c) = self.map.get(name).and_then(|p| p.child.as_ref()) else { return };
+        let Some(c) = self.processes.get(name).and_then(|p| p.child.as_ref()) else { return };
         if let Some(pid) = Pid::from_raw(c.id() as i32) {
             let _ = kill_process(pid, sig);
         }
     }
 
     /// Rewrites a process's settings file; gives the old text.
-    pub fn rewrite(&self, name: &str, with: impl Fn(&str) -> String) -> Result<String, String> {
+    pub fn rewrite_settings(&self, name: &str, with: impl Fn(&str) -> String) -> Result<String, String> {
         let path = self.folder.join(format!("{name}.json"));
         let old = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         fs::write(&path, with(&old)).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -135,13 +135,13 @@
     }
 
     /// Removes the data of a process.
-    pub fn wipe(&self, name: &str) {
+    pub fn remove_data(&self, name: &str) {
         let _ = fs::remove_dir_all(self.folder.join(name));
     }
 
     /// Starts whatever is not running.
-    pub fn revive(&mut self, _layout: &Layout) -> Result<(), String> {
-        let names: Vec<String> = self.map.keys().cloned().collect();
+    pub fn start_all(&mut self, _layout: &Layout) -> Result<(), String> {
+        let names: Vec<String> = self.processes.keys().cloned().collect();
         for n in names {
             self.signal(&n, Signal::CONT);
             self.launch(&n)?;
@@ -150,9 +150,9 @@
     }
 }
 
-impl Drop for Procs {
+impl Drop for FleetProcesses {
     fn drop(&mut self) {
-        let names: Vec<String> = self.map.keys().cloned().collect();
+        let names: Vec<String> = self.processes.keys().cloned().collect();
         for n in names {
             self.kill(&n);
         }
--- a/kit/src/fleet/script.rs
+++ b/kit/src/fleet/script.rs
@@ -3,47 +3,47 @@
 use base::runtime::Env;
 use rustix::process::Signal;
 
-use super::{Layout, Procs, ask, chief, leader, member_somehow};
+use super::{Layout, FleetProcesses, ask, chief, leader, member_somehow};
 
 /// What is done to a running fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
+pub enum FleetAction {
     /// Kill the server that leads a group.
-    Leader(String),
+    KillPrimary(String),
     /// Kill the leading hub.
-    Chief,
+    KillLeader,
     Kill(String),
     /// Kill every process of an area.
-    Area(String),
+    KillZone(String),
     Start(String),
     /// Ask a process to end, and start it again once it has.
     Restart(String),
-    Stop(String),
-    Thaw(String),
+    Freeze(String),
+    Resume(String),
     /// Kill a hub and remove its data.
-    Wipe(String),
-    Empty(String),
-    TakeBack(String),
+    KillAndWipe(String),
+    EvacuateZone(String),
+    EndEvacuation(String),
     Drain(String),
     /// The server runs so many statements without answering.
-    Mute(String),
+    SuppressResponses(String),
     /// Change a process's settings file (its policy) and signal it.
-    Settings(String),
+    ChangeSettings(String),
     /// Leave nonsense in a settings file for a second, and signal the process.
-    Garble(String),
+    CorruptSettings(String),
     /// Put a server into its group.
-    Join(String),
+    JoinGroup(String),
     /// Take it out.
-    Quit(String),
+    LeaveGroup(String),
     /// Start whatever is down.
-    Revive,
+    StartAll,
 }
 
 /// A fault and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub at: Duration,
-    pub fault: Fault,
+    pub action: FleetAction,
 }
 
 /// Reads `SECONDS:WHAT[=NAME]`.
@@ -54,30 +54,30 @@
     let (what, name) = what.split_once('=').unwrap_or((what, ""));
     let name = name.to_string();
     let fault = match (what, name.is_empty()) {
-        ("chief", true) => Fault::Chief,
-        ("revive", true) => Fault::Revive,
-        ("leader", false) => Fault::Leader(name),
-        ("kill", false) => Fault::Kill(name),
-        ("area", false) => Fault::Area(name),
-        ("start", false) => Fault::Start(name),
-        ("restart", false) => Fault::Restart(name),
-        ("stop", false) => Fault::Stop(name),
-        ("thaw", false) => Fault::Thaw(name),
-        ("wipe", false) => Fault::Wipe(name),
-        ("empty", false) => Fault::Empty(name),
-        ("take-back", false) => Fault::TakeBack(name),
-        ("drain", false) => Fault::Drain(name),
-        ("settings", false) => Fault::Settings(name),
-        ("garble", false) => Fault::Garble(name),
-        ("join", false) => Fault::Join(name),
-        ("quit", false) => Fault::Quit(name),
-        ("mute", false) => Fault::Mute(name),
+        ("chief", true) => FleetAction::KillLeader,
+        ("revive", true) => FleetAction::StartAll,
+        ("leader", false) => FleetAction::KillPrimary(name),
+        ("kill", false) => FleetAction::Kill(name),
+        ("area", false) => FleetAction::KillZone(name),
+        ("start", false) => FleetAction::Start(name),
+        ("restart", false) => FleetAction::Restart(name),
+        ("stop", false) => FleetAction::Freeze(name),
+        ("thaw", false) => FleetAction::Resume(name),
+        ("wipe", false) => FleetAction::KillAndWipe(name),
+        ("empty", false) => FleetAction::EvacuateZone(name),
+        ("take-back", false) => FleetAction::EndEvacuation(name),
+        ("drain", false) => FleetAction::Drain(name),
+        ("settings", false) => FleetAction::ChangeSettings(name),
+        ("garble", false) => FleetAction::CorruptSettings(name),
+        ("join", false) => FleetAction::JoinGroup(name),
+        ("quit", false) => FleetAction::LeaveGroup(name),
+        ("mute", false) => FleetAction::SuppressResponses(name),
         _ => return Err(bad()),
     };
-    Ok(Step { at, fault })
+    Ok(Step { at, action: fault })
 }
 
-async fn trouble(env: &Env, layout: &Layout, server: &str, body: &str) -> String {
+async fn inject_fault(env: &Env, layout: &Layout, server: &str, body: &str) -> String {
     match layout.servers.iter().find(|s| s.name == server) {
         Some(s) => match ask(env, s.addr, "POST", "/trouble", body).await {
             Some(r) => format!("{server} told {body}: {}", r.status),
@@ -110,39 +110,39 @@
 }
 
 /// Does it; says what was done.
-pub async fn carry_out(env: &Env, layout: &Layout, procs: &mut Procs, fault: &Fault) -> String {
+pub async fn execute(env: &Env, layout: &Layout, procs: &mut FleetProcesses, fault: &FleetAction) -> String {
     match fault {
-        Fault::Leader(group) => match leader(env, layout, group).await {
+        FleetAction::KillPrimary(group) => match leader(env, layout, group).await {
             Some(s) => {
                 procs.kill(&s);
                 format!("killed {s}, leader of {group}")
             }
             None => format!("{group} has no leader to kill"),
         },
-        Fault::Chief => match chief(env, layout).await {
+        FleetAction::KillLeader => match chief(env, layout).await {
             Some(h) => {
                 procs.kill(&h);
                 format!("killed {h}, the leading hub")
             }
             None => "no hub leads".into(),
         },
-        Fault::Kill(n) => {
+        FleetAction::Kill(n) => {
             procs.kill(n);
             format!("killed {n}")
         }
-        Fault::Area(a) => {
+        FleetAction::KillZone(a) => {
             let names = procs.area(a);
             names.iter().for_each(|n| procs.kill(n));
             format!("area {a} lost: {}", names.join(" "))
         }
-        Fault::Start(n) => match procs.launch(n) {
+        FleetAction::Start(n) => match procs.launch(n) {
             Ok(()) => format!("started {n}"),
             Err(e) => e,
         },
-        Fault::Restart(n) => {
+        FleetAction::Restart(n) => {
             procs.signal(n, Signal::TERM);
             let ok = loop {
-                if let Some(ok) = procs.ended(n) {
+                if let Some(ok) = procs.try_reap(n) {
                     break ok;
                 }
                 env.sleep(Duration::from_millis(20)).await;
@@ -150,46 +150,46 @@
             let again = procs.launch(n);
             format!("{n} ended {} and was started again {again:?}", if ok { "well" } else { "badly" })
         }
-        Fault::Stop(n) => {
+        FleetAction::Freeze(n) => {
             procs.signal(n, Signal::STOP);
             format!("froze {n}")
         }
-        Fault::Thaw(n) => {
+        FleetAction::Resume(n) => {
             procs.signal(n, Signal::CONT);
             format!("thawed {n}")
         }
-        Fault::Wipe(n) => {
+        FleetAction::KillAndWipe(n) => {
             procs.kill(n);
-            procs.wipe(n);
+            procs.remove_data(n);
             format!("killed {n} and removed its data")
         }
-        Fault::Empty(a) => area(env, layout, a, "empty").await,
-        Fault::TakeBack(a) => area(env, layout, a, "take-back").await,
-        Fault::Drain(s) => trouble(env, layout, s, "{\"draining\":true}").await,
-        Fault::Settings(n) => {
-            let out = procs.rewrite(n, |text| {
+        FleetAction::EvacuateZone(a) => area(env, layout, a, "empty").await,
+        FleetAction::EndEvacuation(a) => area(env, layout, a, "take-back").await,
+        FleetAction::Drain(s) => inject_fault(env, layout, s, "{\"draining\":true}").await,
+        FleetAction::ChangeSettings(n) => {
+            let out = procs.rewrite_settings(n, |text| {
                 let end = text.rfind('}').unwrap_or(text.len());
                 format!("{},\"policy\":{{\"eval_interval_ms\":5000}}}}", &text[..end])
             });
             procs.signal(n, Signal::HUP);
             format!("{n} has a changed settings file: {}", if out.is_ok() { "written" } else { "not written" })
         }
-        Fault::Garble(n) => {
-            let out = procs.rewrite(n, |text| text[..text.len() / 2].into());
+        FleetAction::CorruptSettings(n) => {
+            let out = procs.rewrite_settings(n, |text| text[..text.len() / 2].into());
             procs.signal(n, Signal::HUP);
             env.sleep(Duration::from_secs(1)).await;
             if let Ok(old) = &out {
-                let _ = procs.rewrite(n, |_| old.clone());
+                let _ = procs.rewrite_settings(n, |_| old.clone());
             }
             format!(
                 "{n} had half a settings file for a second: {}",
                 if out.is_ok() { "written" } else { "not written" }
             )
         }
-        Fault::Join(s) => member(env, layout, s, true).await,
-        Fault::Quit(s) => member(env, layout, s, false).await,
-        Fault::Mute(s) => trouble(env, layout, s, "{\"mute\":3}").await,
-        Fault::Revive => match procs.revive(layout) {
+        FleetAction::JoinGroup(s) => member(env, layout, s, true).await,
+        FleetAction::LeaveGroup(s) => member(env, layout, s, false).await,
+        FleetAction::SuppressResponses(s) => inject_fault(env, layout, s, "{\"mute\":3}").await,
+        FleetAction::StartAll => match procs.start_all(layout) {
             Ok(()) => "started whatever was down".into(),
             Err(e) => e,
         },
--- a/kit/src/main.rs
+++ b/kit/src/main.rs
@@ -81,7 +81,7 @@
             let below = format!("portspoke-scale-{}", std::process::id());
             let folder = a.folder.unwrap_or_else(|| std::env::temp_dir().join(below));
             let span = Duration::from_secs_f64(a.seconds);
-            let run = fleet::Scale { nodes, groups: a.groups, sessions: a.sessions, span, folder, bins: own };
+            let run = fleet::ScaleRun { nodes, groups: a.groups, sessions: a.sessions, point_duration: span, folder, bins: own };
             if let Err(e) = tool::scale::run(&boot::system_env(None), &run).await {
                 eprintln!("{e}");
                 exit(2);
--- a/kit/src/platform.rs
+++ b/kit/src/platform.rs
@@ -23,19 +23,19 @@
 /// A running platform.
 pub struct Platform {
     env: Env,
-    known: Vec<Known>,
-    named: RefCell<BTreeMap<String, PromotionRequest>>,
+    servers: Vec<Known>,
+    promotions: RefCell<BTreeMap<String, PromotionRequest>>,
     /// Every naming that was accepted, with its time.
     pub history: RefCell<Vec<(Duration, PromotionRequest)>>,
-    tree: RefCell<Option<Supervisor>>,
+    supervisor: RefCell<Option<Supervisor>>,
 }
 
-struct Desk(Rc<Platform>);
+struct PlatformHandler(Rc<Platform>);
 
-impl RequestHandler for Desk {
+impl RequestHandler for PlatformHandler {
     fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
         let me = self.0.clone();
-        Box::pin(async move { me.answer(&ask) })
+        Box::pin(async move { me.handle_promotion(&ask) })
     }
 }
 
@@ -45,35 +45,35 @@
         let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
         let me = Rc::new(Self {
             env: env.clone(),
-            known,
-            named: RefCell::default(),
+            servers: known,
+            promotions: RefCell::default(),
             history: RefCell::default(),
-            tree: RefCell::default(),
+            supervisor: RefCell::default(),
         });
         let mut tree = Supervisor::new(env);
-        for k in &me.known {
+        for k in &me.servers {
             let (m, k) = (me.clone(), k.clone());
-            tree.child("tell", move || m.clone().tell(k.clone()));
+            tree.child("tell", move || m.clone().send_role(k.clone()));
         }
         let (m, e, door) = (me.clone(), env.clone(), Endpoint::new(200, 1 << 16));
         tree.child("door", move || {
             let m = m.clone();
-            let make = Rc::new(move || Rc::new(Desk(m.clone())) as Rc<dyn RequestHandler>);
+            let make = Rc::new(move || Rc::new(PlatformHandler(m.clone())) as Rc<dyn RequestHandler>);
             http::serve(e.clone(), sock.clone(), door.clone(), make)
         });
-        *me.tree.borrow_mut() = Some(tree);
+        *me.supervisor.borrow_mut() = Some(tree);
         Ok(me)
     }
 
-    fn answer(&self, ask: &HttpRequest) -> HttpResponse {
+    fn handle_promotion(&self, ask: &HttpRequest) -> HttpResponse {
         if ask.path != backend::PROMOTION_PATH {
             return HttpResponse::new(404, "{}");
         }
         let Ok(n) = base::strict::read::<PromotionRequest>(&ask.body) else { return HttpResponse::new(400, "{}") };
-        if !self.known.iter().any(|k| k.name == n.server && k.group == n.group) {
+        if !self.servers.iter().any(|k| k.name == n.server && k.group == n.group) {
             return HttpResponse::new(404, "{}");
         }
-        let mut named = self.named.borrow_mut();
+        let mut named = self.promotions.borrow_mut();
         if named.get(&n.group).is_some_and(|o| o.line > n.line || (o.line == n.line && o.server != n.server)) {
             return HttpResponse::new(409, "{}");
         }
@@ -86,11 +86,11 @@
     }
 
     /// Tells one server, over and over, whom it follows.
-    async fn tell(self: Rc<Self>, k: Known) -> Result<(), std::convert::Infallible> {
+    async fn send_role(self: Rc<Self>, k: Known) -> Result<(), std::convert::Infallible> {
         loop {
-            let now = self.named.borrow().get(&k.group).cloned();
+            let now = self.promotions.borrow().get(&k.group).cloned();
             if let Some(n) = now {
-                let addr = self.known.iter().find(|x| x.name == n.server).map(|x| x.addr.to_string());
+                let addr = self.servers.iter().find(|x| x.name == n.server).map(|x| x.addr.to_string());
                 let body = RoleAssignment {
                     leads: n.server == k.name,
                     line: n.line,
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -23,9 +23,9 @@
 };
 use platform::stand::{Bank, Callers, Dice, Ledger, Plan, Setup, configure, drive, duty, serve, settings};
 
-use operator::{Operator, Orders, Task};
+use operator::{Operator, OrderRecord, Task};
 pub use processes::{Fact, Launch, Process};
-pub use script::{Action, Event, Extent, Unreadable, draw, read};
+pub use script::{Action, Event, Extent, ScriptError, draw, read};
 pub use verdict::{History, Rules, Verdict, judge};
 
 const ZONES: [&str; 3] = ["north", "mid", "south"];
@@ -37,17 +37,17 @@
 const RESERVED_PORT: u16 = 8781;
 
 /// The most processes that a soak starts.
-pub const MOST_PROCESSES: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// What a process is counted with when memory is looked at before the start.
-const MEMORY_OF_PROCESS_KB: u64 = 40 << 10;
+const PROCESS_MEMORY_KB: u64 = 40 << 10;
 
-const TICK: Duration = Duration::from_millis(20);
-const PROGRESS: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 /// How long the fleet may take to serve, and how long it has after the script.
-const START: Duration = Duration::from_secs(40);
-const CALM: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(40);
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 /// The longest pause before a process that ended is started again.
-const RESTART: Duration = Duration::from_millis(1500);
+const MAX_RESTART_DELAY: Duration = Duration::from_millis(1500);
 
 /// The users' bounds that the settings of a soak name.
 const RULES: Rules = Rules {
@@ -80,7 +80,7 @@
     pub verdict: Verdict,
     pub script: Vec<Event>,
     pub connections: BTreeMap<&'static str, u64>,
-    pub orders: Rc<Orders>,
+    pub orders: Rc<OrderRecord>,
     pub good: u64,
     pub interrupted: bool,
 }
@@ -98,7 +98,7 @@
             row(connections),
             orders.acknowledged.get(),
             orders.conflicts.get(),
-            orders.unclear.get(),
+            orders.unknown.get(),
             self.good
         );
         out += &format!("findings: {}\n", self.verdict.findings.len());
@@ -114,13 +114,13 @@
 struct Fleet {
     env: Env,
     processes: Vec<Process>,
-    access: Vec<SocketAddr>,
-    control: Vec<SocketAddr>,
+    access_points: Vec<SocketAddr>,
+    control_points: Vec<SocketAddr>,
     bank: Rc<Bank>,
     servers: Vec<String>,
     plans: Vec<Plan>,
     _network: Network,
-    _jobs: Vec<TaskGuard>,
+    _tasks: Vec<TaskGuard>,
 }
 
 fn address(ip: &str, port: u16) -> SocketAddr {
@@ -129,41 +129,41 @@
 
 /// Addresses on loopback that no other soak uses while this one runs.
 struct Network {
-    number: u32,
+    second_octet: u32,
     _reserved: TcpListener,
 }
 
 /// The second numbers of the addresses that soaks use.
-const NETWORKS: std::ops::Range<u32> = 20..220;
+const SECOND_OCTETS: std::ops::Range<u32> = 20..220;
 
 impl Network {
     fn reserve() -> Result<Self, String> {
-        let first = std::process::id() % NETWORKS.len() as u32;
-        for number in NETWORKS.map(|n| NETWORKS.start + (n + first) % NETWORKS.len() as u32) {
+        let first = std::process::id() % SECOND_OCTETS.len() as u32;
+        for number in SECOND_OCTETS.map(|n| SECOND_OCTETS.start + (n + first) % SECOND_OCTETS.len() as u32) {
             if let Ok(_reserved) = TcpListener::bind(address(&format!("127.{number}.0.1"), RESERVED_PORT)) {
-                return Ok(Self { number, _reserved });
+                return Ok(Self { second_octet: number, _reserved });
             }
         }
         Err(format!(
             "port {RESERVED_PORT} is taken on all of 127.{}.0.1 to 127.{}.0.1",
-            NETWORKS.start,
-            NETWORKS.end - 1
+            SECOND_OCTETS.start,
+            SECOND_OCTETS.end - 1
         ))
     }
 
     fn ip(&self, index: usize) -> String {
-        format!("127.{}.{}.{}", self.number, 1 + index / 200, 1 + index % 200)
+        format!("127.{}.{}.{}", self.second_octet, 1 + index / 200, 1 + index % 200)
     }
 }
 
-fn can_run(soak: &Soak) -> Result<(), String> {
-    if soak.processes < 2 * CONTROL_NODES || soak.processes > MOST_PROCESSES {
-        return Err(format!("{} processes: {} to {MOST_PROCESSES} can be started", soak.processes, 2 * CONTROL_NODES));
+fn check_can_run(soak: &Soak) -> Result<(), String> {
+    if soak.processes < 2 * CONTROL_NODES || soak.processes > MAX_PROCESSES {
+        return Err(format!("{} processes: {} to {MAX_PROCESSES} can be started", soak.processes, 2 * CONTROL_NODES));
     }
     let info = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let total: Option<u64> =
         info.lines().find_map(|line| line.strip_prefix("MemTotal:")?.split_whitespace().next()?.parse().ok());
-    let needed = soak.processes as u64 * MEMORY_OF_PROCESS_KB;
+    let needed = soak.processes as u64 * PROCESS_MEMORY_KB;
     if total.is_some_and(|total| needed > total / 2) {
         return Err(format!("{} processes may need {needed} KB, over half of this machine's memory", soak.processes));
     }
@@ -227,7 +227,7 @@
         };
         let plans = groups.iter().map(plan).collect();
         let processes = processes.map_err(|e| format!("{}: {e}", soak.folder.display()))?;
-        Ok(Self { env: env.clone(), processes, access, control, bank, servers, plans, _network: network, _jobs: jobs })
+        Ok(Self { env: env.clone(), processes, access_points: access, control_points: control, bank, servers, plans, _network: network, _tasks: jobs })
     }
 
     fn start(&mut self) -> Result<(), String> {
@@ -236,10 +236,10 @@
     }
 
     /// Sees to processes that ended, and starts them again after a while.
-    fn look(&mut self, dice: &Dice) -> Result<(), String> {
+    fn restart_exited(&mut self, dice: &Dice) -> Result<(), String> {
         let now = self.env.now();
         for process in &mut self.processes {
-            process.look(now, dice.span(RESTART));
+            process.look(now, dice.span(MAX_RESTART_DELAY));
             if process.restart_at.is_some_and(|at| now >= at) {
                 process.start(now).map_err(|e| format!("{}: {e}", process.name()))?;
             }
@@ -247,7 +247,7 @@
         Ok(())
     }
 
-    fn act(&mut self, action: Action, operator: &mpsc::UnboundedSender<Task>) {
+    fn apply(&mut self, action: Action, operator: &mpsc::UnboundedSender<Task>) {
         let now = self.env.now();
         let mut signal = |process: usize, fact| {
             if let Some(process) = self.processes.get_mut(process) {
@@ -260,15 +260,15 @@
             Action::Stop(p) => signal(p, Fact::Stop),
             Action::Cont(p) => signal(p, Fact::Cont),
             Action::Kill(p) => signal(p, Fact::Kill),
-            Action::Routes(count) => drop(operator.unbounded_send(Task::Routes(count))),
-            Action::Pair => drop(operator.unbounded_send(Task::Pair)),
+            Action::AddRoutes(count) => drop(operator.unbounded_send(Task::AddRoutes(count))),
+            Action::ConcurrentPair => drop(operator.unbounded_send(Task::ConcurrentPair)),
             Action::Drain(s) => drop(self.servers.get(s).map(|name| self.bank.copy(name, |c| c.draining = true))),
-            Action::Back(s) => drop(self.servers.get(s).map(|name| self.bank.copy(name, |c| c.draining = false))),
+            Action::EndDrain(s) => drop(self.servers.get(s).map(|name| self.bank.copy(name, |c| c.draining = false))),
         }
     }
 
     /// Every process goes on, so that the last seconds are calm.
-    fn wake_all(&mut self) {
+    fn resume_all(&mut self) {
         let now = self.env.now();
         self.processes.iter_mut().for_each(|process| process.signal(now, Fact::Cont));
     }
@@ -281,9 +281,9 @@
 }
 
 /// Waits until statements are answered at a node.
-async fn serves(env: &Env, node: SocketAddr, database: &str) -> bool {
+async fn wait_until_serving(env: &Env, node: SocketAddr, database: &str) -> bool {
     let callers = Callers::new(env, vec![node], vec![database.into()], Duration::ZERO);
-    let end = env.now() + START;
+    let end = env.now() + START_TIMEOUT;
     while env.now() < end {
         if callers.can_write(node, database).await {
             return true;
@@ -294,9 +294,9 @@
 }
 
 /// Processes that only use processor time, ended with the run.
-struct Busy(Vec<std::process::Child>);
+struct BusyProcesses(Vec<std::process::Child>);
 
-impl Busy {
+impl BusyProcesses {
     fn start(soak: &Soak) -> Result<Self, String> {
         let one = |_| {
             std::process::Command::new(soak.bins.join("kit"))
@@ -311,7 +311,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyProcesses {
     fn drop(&mut self) {
         for child in &mut self.0 {
             let _ = child.kill();
@@ -322,18 +322,18 @@
 
 /// Runs a soak to its end, or until this process is asked to end; no process of it is left behind.
 pub async fn run(env: &Env, soak: &Soak, progress: impl Fn(String)) -> Result<Report, String> {
-    can_run(soak)?;
+    check_can_run(soak)?;
     let mut fleet = Fleet::new(env, soak)?;
     fleet.start()?;
-    if !configure(env, &fleet.control, &fleet.plans, 0, 3).await {
+    if !configure(env, &fleet.control_points, &fleet.plans, 0, 3).await {
         return Err("the first configuration was not taken".into());
     }
-    for node in fleet.access.clone() {
-        if !serves(env, node, &fleet.plans[0].name).await {
-            return Err(format!("{node} does not serve within {START:?}"));
+    for node in fleet.access_points.clone() {
+        if !wait_until_serving(env, node, &fleet.plans[0].name).await {
+            return Err(format!("{node} does not serve within {START_TIMEOUT:?}"));
         }
     }
-    let _busy = Busy::start(soak)?;
+    let _busy = BusyProcesses::start(soak)?;
     let extent = Extent {
         control_nodes: CONTROL_NODES,
         processes: soak.processes,
@@ -342,21 +342,21 @@
     };
     let script = soak.script.clone().unwrap_or_else(|| draw(soak.seed, extent));
     let start = env.now();
-    let end = start + soak.span + CALM;
+    let end = start + soak.span + SETTLE_TIME;
     let databases = fleet.plans.iter().map(|p| p.name.clone()).collect();
-    let callers = Callers::new(env, fleet.access.clone(), databases, end);
+    let callers = Callers::new(env, fleet.access_points.clone(), databases, end);
     let mut jobs: Vec<TaskGuard> =
         (0..soak.callers as u64).map(|n| env.spawn(callers.clone().run(soak.seed << 20 | n))).collect();
     let ledger = Rc::new(Ledger::default());
     for plan in &fleet.plans {
         jobs.push(env.spawn(drive(env.clone(), ledger.clone(), Plan { until: end, ..plan.clone() })));
     }
-    let orders = Rc::new(Orders::default());
-    orders.newest.set(3);
+    let orders = Rc::new(OrderRecord::default());
+    orders.newest_acknowledged.set(3);
     let (tasks, queue) = mpsc::unbounded();
-    let operator = |orders: &Rc<Orders>| Operator {
+    let operator = |orders: &Rc<OrderRecord>| Operator {
         env: env.clone(),
-        control: fleet.control.clone(),
+        control: fleet.control_points.clone(),
         plans: fleet.plans.clone(),
         orders: orders.clone(),
     };
@@ -365,9 +365,9 @@
 
     let interrupted = play(&mut fleet, soak, &script, start, end, &tasks, &callers, &progress).await?;
     // Whoever still waits for an answer gets the time for it.
-    fleet.wake_all();
+    fleet.resume_all();
     if !interrupted {
-        env.sleep(CALM).await;
+        env.sleep(SETTLE_TIME).await;
     }
     let read = if interrupted { Some(0) } else { reader.newest().await };
     let mut histories = fleet.histories();
@@ -401,19 +401,19 @@
     let dice = Dice::new(!soak.seed);
     let mut stop = pin!(Signals::new().await.end());
     let mut left = script.iter().peekable();
-    let next_progress = Cell::new(start + PROGRESS);
+    let next_progress = Cell::new(start + PROGRESS_INTERVAL);
     while env.now() < end {
         while let Some(event) = left.next_if(|event| env.now() >= start + event.at) {
-            fleet.act(event.action, tasks);
+            fleet.apply(event.action, tasks);
         }
-        fleet.look(&dice)?;
+        fleet.restart_exited(&dice)?;
         if env.now() >= next_progress.get() {
-            next_progress.set(env.now() + PROGRESS);
-            let running = fleet.processes.iter().filter(|p| p.runs()).count();
+            next_progress.set(env.now() + PROGRESS_INTERVAL);
+            let running = fleet.processes.iter().filter(|p| p.is_running()).count();
             let done = callers.statements.borrow().len();
             progress(format!("{:>4} s: {done} statements, {running} processes run", (env.now() - start).as_secs()));
         }
-        if let Either::Left(_) = select(stop.as_mut(), pin!(env.sleep(TICK))).await {
+        if let Either::Left(_) = select(stop.as_mut(), pin!(env.sleep(POLL_INTERVAL))).await {
             return Ok(true);
         }
     }
--- a/kit/src/soak/operator.rs
+++ b/kit/src/soak/operator.rs
@@ -7,27 +7,27 @@
 use platform::stand::{Order, Plan, read_back};
 
 /// How long one call may take, and how long an order is sent again and again.
-const CALL: Duration = Duration::from_secs(2);
-const PATIENCE: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(100);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(15);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is asked of the operator.
 #[derive(Clone, Copy, Debug)]
 pub enum Task {
     /// A configuration with so many routes more than the first.
-    Routes(usize),
+    AddRoutes(usize),
     /// Two on top of the same version.
-    Pair,
+    ConcurrentPair,
 }
 
 /// Counts of the operator's orders.
 #[derive(Default)]
-pub struct Orders {
+pub struct OrderRecord {
     pub acknowledged: Cell<u64>,
     pub conflicts: Cell<u64>,
-    pub unclear: Cell<u64>,
+    pub unknown: Cell<u64>,
     /// The newest number that was acknowledged.
-    pub newest: Cell<u64>,
+    pub newest_acknowledged: Cell<u64>,
     pub findings: std::cell::RefCell<Vec<String>>,
 }
 
@@ -36,93 +36,93 @@
     pub env: Env,
     pub control: Vec<SocketAddr>,
     pub plans: Vec<Plan>,
-    pub orders: Rc<Orders>,
+    pub orders: Rc<OrderRecord>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Answer {
-    Taken,
+enum OrderOutcome {
+    Accepted,
     Conflict,
-    Unclear,
+    Unknown,
 }
 
 impl Operator {
     /// Carries out what is asked until nobody can ask any more.
     pub async fn run(self, mut tasks: mpsc::UnboundedReceiver<Task>) {
-        let mut after = self.orders.newest.get();
+        let mut after = self.orders.newest_acknowledged.get();
         while let Some(task) = tasks.next().await {
             let number = after + 2;
             let answers = match task {
-                Task::Routes(count) => vec![self.send(&self.order(count, after, number, "one"), 0).await],
-                Task::Pair => {
+                Task::AddRoutes(count) => vec![self.submit(&self.build_order(count, after, number, "one"), 0).await],
+                Task::ConcurrentPair => {
                     let (first, second) =
-                        (self.order(1, after, number, "first"), self.order(2, after, number + 1, "second"));
-                    let both = futures::future::join(self.send(&first, 0), self.send(&second, 1)).await;
+                        (self.build_order(1, after, number, "first"), self.build_order(2, after, number + 1, "second"));
+                    let both = futures::future::join(self.submit(&first, 0), self.submit(&second, 1)).await;
                     vec![both.0, both.1]
                 }
             };
-            if answers == [Answer::Taken, Answer::Taken] {
-                self.find(format!("two configurations on top of version {after} were acknowledged"));
+            if answers == [OrderOutcome::Accepted, OrderOutcome::Accepted] {
+                self.record_finding(format!("two configurations on top of version {after} were acknowledged"));
             }
             for (answer, number) in answers.iter().zip(number..) {
                 let (count, newest) = match answer {
-                    Answer::Taken => (&self.orders.acknowledged, number),
-                    Answer::Conflict => (&self.orders.conflicts, 0),
-                    Answer::Unclear => (&self.orders.unclear, 0),
+                    OrderOutcome::Accepted => (&self.orders.acknowledged, number),
+                    OrderOutcome::Conflict => (&self.orders.conflicts, 0),
+                    OrderOutcome::Unknown => (&self.orders.unknown, 0),
                 };
                 count.set(count.get() + 1);
-                self.orders.newest.set(self.orders.newest.get().max(newest));
+                self.orders.newest_acknowledged.set(self.orders.newest_acknowledged.get().max(newest));
             }
             // One without a clear answer may be in force or not: the newest is read before the next is built on it.
-            after = self.newest().await.unwrap_or(self.orders.newest.get());
+            after = self.newest().await.unwrap_or(self.orders.newest_acknowledged.get());
         }
     }
 
-    fn find(&self, text: String) {
+    fn record_finding(&self, text: String) {
         self.orders.findings.borrow_mut().push(text);
     }
 
-    fn order(&self, routes: usize, after: u64, number: u64, mark: &str) -> Order {
+    fn build_order(&self, routes: usize, after: u64, number: u64, mark: &str) -> Order {
         let mut plans = self.plans.clone();
         let more = (0..routes).map(|n| Plan { name: format!("more{n}"), ..self.plans[0].clone() });
         plans.extend(more);
         Order::whole(&plans, after, number, mark)
     }
 
-    async fn send(&self, order: &Order, first: usize) -> Answer {
-        let end = self.env.now() + PATIENCE;
+    async fn submit(&self, order: &Order, first: usize) -> OrderOutcome {
+        let end = self.env.now() + RETRY_TIMEOUT;
         let mut turn = first;
         while self.env.now() < end {
             let node = self.control[turn % self.control.len()];
             turn += 1;
-            match order.send(&self.env, node, CALL).await {
-                Some((200, _)) => return Answer::Taken,
-                Some((412, _)) => return Answer::Conflict,
+            match order.send(&self.env, node, CALL_TIMEOUT).await {
+                Some((200, _)) => return OrderOutcome::Accepted,
+                Some((412, _)) => return OrderOutcome::Conflict,
                 Some((code @ 400..=499, _)) if ![408, 429].contains(&code) => {
-                    self.find(format!("a valid configuration was answered {code}"));
-                    return Answer::Unclear;
+                    self.record_finding(format!("a valid configuration was answered {code}"));
+                    return OrderOutcome::Unknown;
                 }
-                _ => self.env.sleep(PAUSE).await,
+                _ => self.env.sleep(RETRY_INTERVAL).await,
             }
         }
-        Answer::Unclear
+        OrderOutcome::Unknown
     }
 
     /// The newest number that is in force; anything older than what was acknowledged is a finding.
     pub async fn newest(&self) -> Option<u64> {
-        let acknowledged = self.orders.newest.get();
-        let end = self.env.now() + PATIENCE;
+        let acknowledged = self.orders.newest_acknowledged.get();
+        let end = self.env.now() + RETRY_TIMEOUT;
         let mut turn = 0;
         while self.env.now() < end {
             let node = self.control[turn % self.control.len()];
             turn += 1;
-            if let Some(read) = read_back(&self.env, node, CALL).await {
+            if let Some(read) = read_back(&self.env, node, CALL_TIMEOUT).await {
                 if read.number < acknowledged {
-                    self.find(format!("version {} was read back after {acknowledged} was acknowledged", read.number));
+                    self.record_finding(format!("version {} was read back after {acknowledged} was acknowledged", read.number));
                 }
                 return Some(read.number);
             }
-            self.env.sleep(PAUSE).await;
+            self.env.sleep(RETRY_INTERVAL).await;
         }
         None
     }
--- a/kit/src/soak/processes.rs
+++ b/kit/src/soak/processes.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
--- a/kit/src/soak/script.rs
+++ b/kit/src/soak/script.rs
@@ -18,13 +18,13 @@
     /// SIGKILL; it is started again after a moment.
     Kill(usize),
     /// A configuration with so many routes more than the first one.
-    Routes(usize),
+    AddRoutes(usize),
     /// Two configurations on top of the same version.
-    Pair,
+    ConcurrentPair,
     /// A server says that it drains.
     Drain(usize),
     /// A server that drained takes statements again.
-    Back(usize),
+    EndDrain(usize),
 }
 
 /// An action and its moment, counted from when the fleet serves.
@@ -42,10 +42,10 @@
             Action::Stop(p) => ("stop", p),
             Action::Cont(p) => ("cont", p),
             Action::Kill(p) => ("kill", p),
-            Action::Routes(n) => ("routes", n),
-            Action::Pair => ("pair", 0),
+            Action::AddRoutes(n) => ("routes", n),
+            Action::ConcurrentPair => ("pair", 0),
             Action::Drain(s) => ("drain", s),
-            Action::Back(s) => ("back", s),
+            Action::EndDrain(s) => ("back", s),
         };
         write!(f, "{} {word} {of}", self.at.as_millis())
     }
@@ -54,13 +54,13 @@
 /// A line of a script that can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?}: milliseconds, an action and a number belong here")]
-pub struct Unreadable(String);
+pub struct ScriptError(String);
 
 impl FromStr for Event {
-    type Err = Unreadable;
+    type Err = ScriptError;
 
-    fn from_str(line: &str) -> Result<Self, Unreadable> {
-        let wrong = || Unreadable(line.into());
+    fn from_str(line: &str) -> Result<Self, ScriptError> {
+        let wrong = || ScriptError(line.into());
         let parts: Vec<&str> = line.split_whitespace().collect();
         let [at, word, of] = parts[..] else { return Err(wrong()) };
         let of: usize = of.parse().map_err(|_| wrong())?;
@@ -70,10 +70,10 @@
             "stop" => Action::Stop(of),
             "cont" => Action::Cont(of),
             "kill" => Action::Kill(of),
-            "routes" => Action::Routes(of),
-            "pair" => Action::Pair,
+            "routes" => Action::AddRoutes(of),
+            "pair" => Action::ConcurrentPair,
             "drain" => Action::Drain(of),
-            "back" => Action::Back(of),
+            "back" => Action::EndDrain(of),
             _ => return Err(wrong()),
         };
         Ok(Self { at: Duration::from_millis(at.parse().map_err(|_| wrong())?), action })
@@ -81,7 +81,7 @@
 }
 
 /// Reads a script, an event a line.
-pub fn read(text: &str) -> Result<Vec<Event>, Unreadable> {
+pub fn read(text: &str) -> Result<Vec<Event>, ScriptError> {
     text.lines().filter(|line| !line.trim().is_empty() && !line.starts_with('#')).map(str::parse).collect()
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// The most routes that one change adds, and the most that two of them come to.
-const MOST_ROUTES: u64 = 2000;
+const MAX_ROUTES: u64 = 2000;
 
 /// Draws a script. Events come in series, and the next one may begin before the last one is over.
 pub fn draw(seed: u64, extent: Extent) -> Vec<Event> {
@@ -127,15 +127,15 @@
                 push(later, Action::Cont(any));
             }
             7 => push(at, Action::Kill(any)),
-            8 => push(at, Action::Routes(dice.below(MOST_ROUTES) as usize)),
+            8 => push(at, Action::AddRoutes(dice.below(MAX_ROUTES) as usize)),
             9 => {
                 let first = dice.below(30);
-                (0..4).for_each(|n| push(at + Duration::from_millis(n * 80), Action::Routes((first + n) as usize)));
+                (0..4).for_each(|n| push(at + Duration::from_millis(n * 80), Action::AddRoutes((first + n) as usize)));
             }
-            10 => push(at, Action::Pair),
+            10 => push(at, Action::ConcurrentPair),
             _ => {
                 push(at, Action::Drain(server));
-                push(later, Action::Back(server));
+                push(later, Action::EndDrain(server));
             }
         }
         at += dice.span(Duration::from_millis(1600));
--- a/kit/src/soak/verdict.rs
+++ b/kit/src/soak/verdict.rs
@@ -28,11 +28,11 @@
 }
 
 /// How late a process's end may be noticed.
-const NOTICED: Duration = Duration::from_millis(1500);
+const EXIT_DETECTION_SLACK: Duration = Duration::from_millis(1500);
 
 impl History {
     /// The spans in which it stood still, and the moments at which it was killed.
-    fn troubles(&self) -> Vec<(Duration, Duration)> {
+    fn disturbances(&self) -> Vec<(Duration, Duration)> {
         let mut out = Vec::new();
         let mut stopped_since = None;
         for (at, fact) in &self.facts {
@@ -48,16 +48,16 @@
     }
 
     /// Whether it was killed or stood still in a span.
-    fn in_trouble(&self, from: Duration, to: Duration) -> bool {
-        self.troubles().iter().any(|(begin, end)| *begin <= to && *end >= from)
+    fn was_disturbed(&self, from: Duration, to: Duration) -> bool {
+        self.disturbances().iter().any(|(begin, end)| *begin <= to && *end >= from)
     }
 
     fn findings(&self, rules: Rules, end: Duration) -> Vec<String> {
         let mut out = Vec::new();
         let (mut asked, mut killed): (Option<Duration>, bool) = (None, false);
         let late = |asked: Duration, at: Duration| {
-            let stopped = self.in_trouble(asked, at);
-            !stopped && at > asked + rules.grace + NOTICED
+            let stopped = self.was_disturbed(asked, at);
+            !stopped && at > asked + rules.grace + EXIT_DETECTION_SLACK
         };
         for (at, fact) in &self.facts {
             match fact {
@@ -108,7 +108,7 @@
     for statement in statements {
         let SentStatement { machine, sent, ended, outcome } = statement;
         let node = &nodes[*machine];
-        let excused = node.in_trouble(sent.saturating_sub(rules.contact), *ended);
+        let excused = node.was_disturbed(sent.saturating_sub(rules.contact), *ended);
         let soon = *ended < *sent + rules.loss_slack;
         let (label, is_finding) = match outcome {
             Outcome::Answered(word) => (word.clone(), false),
--- a/kit/src/tool/ops.rs
+++ b/kit/src/tool/ops.rs
@@ -44,7 +44,7 @@
             None if join => usage(format!("join {of:?}: GROUP/SERVER")),
             None => ("", of),
         };
-        match fleet::member(&boot::system_env(None), a.node, group, server, join).await {
+        match fleet::change_membership(&boot::system_env(None), a.node, group, server, join).await {
             Ok(out) => return told(out),
             Err(e) => {
                 eprintln!("{e}");
--- a/kit/src/tool/soak.rs
+++ b/kit/src/tool/soak.rs
@@ -6,7 +6,7 @@
 use super::{args::SoakArgs, usage};
 
 /// The longest script, in seconds.
-const LONGEST: f64 = 3600.0;
+const MAX_SECONDS: f64 = 3600.0;
 
 fn script(args: &SoakArgs) -> Option<Vec<soak::Event>> {
     let path = args.script.as_ref()?;
@@ -16,8 +16,8 @@
 
 /// Runs one soak and prints what it came to; ends with 1 where something was found, with 2 where it can't be run.
 pub async fn soak(args: &SoakArgs) {
-    if args.seconds <= 0.0 || args.seconds > LONGEST || args.callers == 0 {
-        usage(format!("--callers above 0 and --seconds from 0 to {LONGEST} belong here"));
+    if args.seconds <= 0.0 || args.seconds > MAX_SECONDS || args.callers == 0 {
+        usage(format!("--callers above 0 and --seconds from 0 to {MAX_SECONDS} belong here"));
     }
     let own = std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
     let below = format!("portspoke-soak-{}", std::process::id());
