--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -1,14 +1,14 @@
 //! Runs a deployment as real processes on loopback, drives it, breaks it, and judges what was seen.
 
 mod layout;
-mod members;
-mod procs;
+mod membership;
+mod processes;
 mod scale;
 mod script;
 
-pub use layout::{StandInServer, Layout, Machine};
-pub use members::{change_membership, member_somehow};
-pub use procs::FleetProcesses;
+pub use layout::{Layout, Machine, StandInServer};
+pub use membership::{change_membership, member_somehow};
+pub use processes::FleetProcesses;
 pub use scale::{IdleSessions, ScalePoint, ScaleRun, measure_idle_sessions, run_scale};
 pub use script::{FleetAction, Step, parse};
 
--- a/kit/src/fleet/procs.rs
+++ b/kit/src/fleet/processes.rs
@@ -89,7 +89,7 @@
     }
 
     /// Names of all processes in an area.
-    pub fn area(&self, area: &str) -> Vec<String> {
+    pub fn names_in_zone(&self, area: &str) -> Vec<String> {
         self.processes.iter().filter(|(_, p)| p.zone == area).map(|(n, _)| n.clone()).collect()
     }
 
--- a/kit/src/fleet/scale.rs
+++ b/kit/src/fleet/scale.rs
@@ -23,7 +23,7 @@
     relay::{NodeIdentity, Relay, RelayHandler},
 };
 
-use super::{Layout, FleetProcesses, Run, ask, chief, configure, ready};
+use super::{FleetProcesses, Layout, Run, ask, chief, configure, ready};
 
 /// What a scale run is asked for.
 #[derive(Clone, Debug)]
@@ -74,13 +74,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct IdleSessions {
     pub sessions: usize,
-    pub bytes: f64,
+    pub bytes_per_session: f64,
 }
 
 struct SimulatedHandler {
     servers: Rc<Vec<String>>,
     first_ack_at: Cell<Option<Instant>>,
-    returns: Cell<u64>,
+    acks: Cell<u64>,
     /// When each sequence first came.
     latest_sequence: RefCell<Option<(u64, Instant)>>,
 }
@@ -104,7 +104,7 @@
     }
 
     fn on_ack(&self, _ret: NodeHeartbeatAck, _sent: Duration) {
-        self.returns.set(self.returns.get() + 1);
+        self.acks.set(self.acks.get() + 1);
         if self.first_ack_at.get().is_none() {
             self.first_ack_at.set(Some(Instant::now()));
         }
@@ -165,7 +165,12 @@
         .serialize_json()
 }
 
-async fn start_simulated_node(env: &Env, layout: &Layout, servers: &Rc<Vec<String>>, i: usize) -> std::io::Result<Node> {
+async fn start_simulated_node(
+    env: &Env,
+    layout: &Layout,
+    servers: &Rc<Vec<String>>,
+    i: usize,
+) -> std::io::Result<Node> {
     let sock = env.listen("127.0.0.1:0".parse().expect("an address")).await?;
     let who = NodeIdentity {
         name: format!("hollow{i}"),
@@ -178,7 +183,12 @@
     };
     let relay = Relay::new(env, who, Bounds::default());
     let (heard, returns) = (Cell::default(), Cell::default());
-    let head = Rc::new(SimulatedHandler { servers: servers.clone(), first_ack_at: heard, returns, latest_sequence: RefCell::default() });
+    let head = Rc::new(SimulatedHandler {
+        servers: servers.clone(),
+        first_ack_at: heard,
+        acks: returns,
+        latest_sequence: RefCell::default(),
+    });
     relay.set_handler(head.clone());
     let mut tree = Supervisor::new(env);
     relay.supervise(&mut tree, sock);
@@ -214,7 +224,11 @@
 }
 
 /// Runs all points, one after the other, each with processes of its own.
-pub async fn run_scale(env: &Env, scale: &ScaleRun, mut told: impl FnMut(&ScalePoint)) -> Result<Vec<ScalePoint>, String> {
+pub async fn run_scale(
+    env: &Env,
+    scale: &ScaleRun,
+    mut told: impl FnMut(&ScalePoint),
+) -> Result<Vec<ScalePoint>, String> {
     check_capacity(scale)?;
     let mut out = Vec::new();
     for n in &scale.nodes {
@@ -256,7 +270,9 @@
             env.sleep(Duration::from_millis(20)).await;
         }
     }
-    wait_ms_until(env, most, || nodes.iter().all(|x| x.handler.first_ack_at.get().is_some())).await.ok_or("not all nodes joined")?;
+    wait_ms_until(env, most, || nodes.iter().all(|x| x.handler.first_ack_at.get().is_some()))
+        .await
+        .ok_or("not all nodes joined")?;
     let joined_ms = start.elapsed().as_millis() as u64;
     env.sleep(Duration::from_secs(3)).await;
 
@@ -267,7 +283,7 @@
     let before = pids.map(|p| cpu_ticks_and_peak_mb(p).0);
     let (bytes, at) = (loopback_bytes(), Instant::now());
     let sums = |f: &dyn Fn(&Node) -> u64| nodes.iter().map(f).sum::<u64>();
-    let (returns, relayed) = (sums(&|x| x.handler.returns.get()), sums(&|x| x.relay.forwarded_frames.get()));
+    let (returns, relayed) = (sums(&|x| x.handler.acks.get()), sums(&|x| x.relay.forwarded_frames.get()));
     env.sleep(scale.point_duration).await;
     let span = at.elapsed().as_secs_f64();
     let after = pids.map(cpu_ticks_and_peak_mb);
@@ -277,7 +293,7 @@
         nodes: n,
         groups: scale.groups + 3,
         joined_ms,
-        acks_per_s: rate(sums(&|x| x.handler.returns.get()), returns),
+        acks_per_s: rate(sums(&|x| x.handler.acks.get()), returns),
         relayed_per_s: rate(sums(&|x| x.relay.forwarded_frames.get()), relayed),
         depth: nodes.iter().map(|x| x.relay.tree_position().1).max().unwrap_or(0),
         leader_cpu_percent: cpu(0),
@@ -295,7 +311,9 @@
     wait_ms_until(env, most, || nodes.iter().all(|x| has(&x))).await.ok_or("the change did not reach all")?;
     let mut times: Vec<u64> = nodes
         .iter()
-        .filter_map(|x| x.handler.latest_sequence.borrow().map(|s| s.1.saturating_duration_since(sent).as_millis() as u64))
+        .filter_map(|x| {
+            x.handler.latest_sequence.borrow().map(|s| s.1.saturating_duration_since(sent).as_millis() as u64)
+        })
         .collect();
     times.sort();
     (p.half_updated_ms, p.all_updated_ms) = (times[times.len() / 2], times[times.len() - 1]);
@@ -307,7 +325,9 @@
     for i in 0..some {
         nodes.push(start_simulated_node(env, &layout, &servers, n + i).await.map_err(|e| e.to_string())?);
     }
-    wait_ms_until(env, most, || nodes.iter().all(|x| x.handler.first_ack_at.get().is_some())).await.ok_or("not all nodes came back")?;
+    wait_ms_until(env, most, || nodes.iter().all(|x| x.handler.first_ack_at.get().is_some()))
+        .await
+        .ok_or("not all nodes came back")?;
     p.rejoined_ms = start.elapsed().as_millis() as u64;
     Ok(p)
 }
@@ -349,7 +369,7 @@
         }
         env.sleep(Duration::from_millis(500)).await;
         let bytes = (memory_mb(pid, "VmRSS") - start) * 1048576.0 / held.len() as f64;
-        out.push(IdleSessions { sessions: held.len(), bytes });
+        out.push(IdleSessions { sessions: held.len(), bytes_per_session: bytes });
     }
     Ok(out)
 }
--- a/kit/src/fleet/script.rs
+++ b/kit/src/fleet/script.rs
@@ -3,7 +3,7 @@
 use base::runtime::Env;
 use rustix::process::Signal;
 
-use super::{Layout, FleetProcesses, ask, chief, leader, member_somehow};
+use super::{FleetProcesses, Layout, ask, chief, leader, member_somehow};
 
 /// What is done to a running fleet.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,7 +87,7 @@
     }
 }
 
-async fn area(env: &Env, layout: &Layout, area: &str, word: &str) -> String {
+async fn post_zone_request(env: &Env, layout: &Layout, area: &str, word: &str) -> String {
     let path = format!("/ops/areas/{area}/{word}");
     for n in &layout.spokes {
         if let Some(r) = ask(env, n.http, "POST", &path, "").await {
@@ -97,7 +97,7 @@
     "no node answered".into()
 }
 
-async fn member(env: &Env, layout: &Layout, server: &str, join: bool) -> String {
+async fn change_server_membership(env: &Env, layout: &Layout, server: &str, join: bool) -> String {
     let Some(s) = layout.servers.iter().find(|s| s.name == server) else { return format!("no server {server}") };
     let nodes: Vec<_> = layout.spokes.iter().map(|m| m.http).collect();
     let done = member_somehow(env, &nodes, &s.group, server, join).await;
@@ -131,7 +131,7 @@
             format!("killed {n}")
         }
         FleetAction::KillZone(a) => {
-            let names = procs.area(a);
+            let names = procs.names_in_zone(a);
             names.iter().for_each(|n| procs.kill(n));
             format!("area {a} lost: {}", names.join(" "))
         }
@@ -163,8 +163,8 @@
             procs.remove_data(n);
             format!("killed {n} and removed its data")
         }
-        FleetAction::EvacuateZone(a) => area(env, layout, a, "empty").await,
-        FleetAction::EndEvacuation(a) => area(env, layout, a, "take-back").await,
+        FleetAction::EvacuateZone(a) => post_zone_request(env, layout, a, "empty").await,
+        FleetAction::EndEvacuation(a) => post_zone_request(env, layout, a, "take-back").await,
         FleetAction::Drain(s) => inject_fault(env, layout, s, "{\"draining\":true}").await,
         FleetAction::ChangeSettings(n) => {
             let out = procs.rewrite_settings(n, |text| {
@@ -186,8 +186,8 @@
                 if out.is_ok() { "written" } else { "not written" }
             )
         }
-        FleetAction::JoinGroup(s) => member(env, layout, s, true).await,
-        FleetAction::LeaveGroup(s) => member(env, layout, s, false).await,
+        FleetAction::JoinGroup(s) => change_server_membership(env, layout, s, true).await,
+        FleetAction::LeaveGroup(s) => change_server_membership(env, layout, s, false).await,
         FleetAction::SuppressResponses(s) => inject_fault(env, layout, s, "{\"mute\":3}").await,
         FleetAction::StartAll => match procs.start_all(layout) {
             Ok(()) => "started whatever was down".into(),
--- a/kit/src/load/odd.rs
+++ b/kit/src/load/faulty_clients.rs
@@ -1,3 +1,5 @@
+//! Clients that break off a request or repeat one.
+
 use std::{net::SocketAddr, pin::Pin, rc::Rc, time::Duration};
 
 use base::{
@@ -16,7 +18,8 @@
     Statement { op: "add".into(), key: key.into(), val: val.into(), who: String::new() }.serialize_json()
 }
 
-/// A caller cut off in the middle of a body, at a place where what came could pass for a whole statement.
+/// Sends a write whose connection closes before the whole body is sent, at a point where the part that was sent is a
+/// complete statement by itself. The node must not execute it.
 pub async fn cut_short(env: &Env, addr: SocketAddr, id: u64) {
     let Ok(mut io) = env.connect(addr, CALL_TIMEOUT).await else { return };
     let body = add_statement("k1", &format!("cut{id}"));
@@ -24,35 +27,36 @@
         "POST /db/pay/write HTTP/1.1\r\nhost: portspoke\r\nx-send: cut-{id}\r\ncontent-length: {}\r\n\r\n{body}",
         body.len() + 9
     );
-    let mut rest = text.as_bytes();
-    while !rest.is_empty() {
-        match std::future::poll_fn(|cx| Pin::new(&mut *io).poll_write(cx, rest)).await {
-            Ok(n) if n > 0 => rest = &rest[n..],
+    let mut unsent = text.as_bytes();
+    while !unsent.is_empty() {
+        match std::future::poll_fn(|cx| Pin::new(&mut *io).poll_write(cx, unsent)).await {
+            Ok(n) if n > 0 => unsent = &unsent[n..],
             _ => return,
         }
     }
     env.sleep(Duration::from_millis(20)).await;
 }
 
-fn write_outcome(out: &Option<HttpResponse>) -> &str {
-    out.as_ref().and_then(|r| r.header(client::WRITE_OUTCOME_HEADER)).unwrap_or("unknown")
+fn write_outcome(response: &Option<HttpResponse>) -> &str {
+    response.as_ref().and_then(|r| r.header(client::WRITE_OUTCOME_HEADER)).unwrap_or("unknown")
 }
 
-/// One attempt that reaches a node three times: over two connections at once, and again afterwards.
+/// Sends one attempt (the same attempt id) to a node three times: over two connections concurrently, and once more
+/// afterwards. It must take effect at most once.
 pub async fn thrice(env: &Env, node: &Node, history: &Rc<History>) {
     let n = history.numbers.next();
     let (send, val, start) = (format!("twice-{n}"), format!("v{n}"), env.now());
     let call = || async {
-        let mut line = Client::connect(env, node.addr, CALL_TIMEOUT, 1 << 16).await.ok()?;
-        let head = [(client::ATTEMPT_ID_HEADER, send.clone())];
-        line.call("POST", "/db/pay/write", &head, add_statement("k2", &val).into(), CALL_TIMEOUT).await.ok()
+        let mut connection = Client::connect(env, node.addr, CALL_TIMEOUT, 1 << 16).await.ok()?;
+        let headers = [(client::ATTEMPT_ID_HEADER, send.clone())];
+        connection.call("POST", "/db/pay/write", &headers, add_statement("k2", &val).into(), CALL_TIMEOUT).await.ok()
     };
-    let (one, two) = futures::future::join(call(), call()).await;
-    let three = call().await;
-    let all = [write_outcome(&one), write_outcome(&two), write_outcome(&three)];
+    let (first, second) = futures::future::join(call(), call()).await;
+    let third = call().await;
+    let outcomes = [write_outcome(&first), write_outcome(&second), write_outcome(&third)];
     let end = match () {
-        () if all.contains(&"yes") => End::Good,
-        () if all.contains(&"unknown") => End::Unknown,
+        () if outcomes.contains(&"yes") => End::Good,
+        () if outcomes.contains(&"unknown") => End::Unknown,
         () => End::Refused,
     };
     history.push(Event {
@@ -63,8 +67,8 @@
         meant: start,
         start,
         done: env.now(),
-        code: one.as_ref().map_or(0, |r| r.status),
+        code: first.as_ref().map_or(0, |r| r.status),
         node: node.name.clone(),
-        note: all.join(" "),
+        note: outcomes.join(" "),
     });
 }
--- a/kit/src/load/history.rs
+++ b/kit/src/load/history.rs
@@ -1,54 +1,60 @@
+//! The recorded requests of clients and their outcomes.
+
 use std::{cell::RefCell, time::Duration};
 
 use super::IdSequence;
 
-/// How a request ended for its caller.
+/// The outcome of a request as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum End {
-    /// Answered as asked; for a write: kept.
+    /// Succeeded; a write is committed.
     Good,
-    /// Turned away with a time to come back; nothing kept.
+    /// Refused with a time after which to retry; nothing was committed.
     Refused,
-    /// Failed, and certainly not kept.
+    /// Failed, and certainly not committed.
     Failed,
-    /// What became of it is not known.
+    /// The outcome is not known to the client.
     Unknown,
-    /// The caller left.
+    /// Abandoned by the client.
     Left,
 }
 
-/// What was asked.
+/// The kind of a request, with what it wrote or read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// A write or a transaction: the attempt's id and what it adds.
+    /// A write or a transaction: the attempt id, and the keys and values that it adds.
     Write { send: String, adds: Vec<(String, String)> },
-    /// A read: what it gave.
+    /// A read: the values returned, and the consistency level of the route.
     Read { key: String, vals: Vec<String>, promise: &'static str },
-    /// A session value read back: what was set and what was seen.
+    /// A session value: the value that was set, and the value read back.
     Value { want: String, got: String },
-    /// A statement of a transaction that got no further.
+    /// Setting or reading a session value that did not succeed.
     Step,
 }
 
-/// One request of a caller.
+/// One request of a client. Times are those of the runtime clock.
 #[derive(Clone, Debug)]
 pub struct Event {
+    /// Number of the client session.
     pub session: u64,
     pub db: &'static str,
     pub kind: Kind,
     pub end: End,
-    /// When it was meant to be sent.
+    /// When the request was scheduled; latencies are measured from here.
     pub meant: Duration,
+    /// When it was sent.
     pub start: Duration,
+    /// When its outcome was known.
     pub done: Duration,
-    /// The answer's code, 0 for none.
+    /// The HTTP status, 0 without a response.
     pub code: u16,
-    /// The node asked.
+    /// The node that the request was sent to.
     pub node: String,
+    /// The reason of a failure, empty otherwise.
     pub note: String,
 }
 
-/// All that callers saw.
+/// All requests of a run.
 #[derive(Default)]
 pub struct History {
     pub events: RefCell<Vec<Event>>,
@@ -56,8 +62,8 @@
 }
 
 impl History {
-    /// Adds an event.
-    pub fn push(&self, e: Event) {
-        self.events.borrow_mut().push(e);
+    /// Appends a request.
+    pub fn push(&self, event: Event) {
+        self.events.borrow_mut().push(event);
     }
 }
--- a/kit/src/load/mod.rs
+++ b/kit/src/load/mod.rs
@@ -1,99 +1,106 @@
-//! The load generator: open-loop sessions at desks, and the history of what they saw.
+//! The load generator: client sessions that send requests at a fixed rate regardless of response times (open loop), and
+//! the history of their requests and outcomes.
 
+mod client_session;
+mod faulty_clients;
 mod history;
-mod odd;
 mod operator;
 mod report;
-mod seat;
 
 use std::{cell::Cell, cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
 use base::runtime::Env;
 
+pub use client_session::{ClientSession, GAVE_UP};
+pub use faulty_clients::{cut_short, thrice};
 pub use history::{End, Event, History, Kind};
-pub use odd::{cut_short, thrice};
 pub use operator::{Emptied, MOVED_ROUTE, Operator, Sent, Sight, Words};
 pub use report::{Report, WorkloadRow};
-pub use seat::{GAVE_UP, ClientSession};
 
-/// A node as the platform hands it to clients.
+/// A node that clients can connect to.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub name: String,
+    /// The node's zone.
     pub area: String,
+    /// The node's HTTP address.
     pub addr: SocketAddr,
 }
 
-/// What is to be driven.
+/// The load of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub nodes: Vec<Node>,
-    /// Open sessions.
+    /// Number of concurrent client sessions.
     pub sessions: usize,
-    /// Requests a second, all sessions together.
+    /// Requests per second, over all sessions.
     pub rate: f64,
+    /// How long requests are sent.
     pub span: Duration,
-    /// Keys of each database.
+    /// Number of keys in each database.
     pub keys: u64,
-    /// One in so many transactions is left halfway; 0 for none.
+    /// One in this many transactions is abandoned before its commit; 0 for none.
     pub leave: u64,
-    /// How long a caller waits.
+    /// How long a client waits for a response.
     pub patience: Duration,
 }
 
-/// The three databases: name, promise, requests out of 440.
+/// The three databases: name, consistency level of the route, and weight (the weights add up to 440).
 pub const DOORS: [(&str, &str, u64); 3] = [("pay", "leader", 200), ("stubs", "bound", 90), ("hours", "session", 150)];
 
-/// The doorway set that the plan's databases need, over three groups.
+/// The configuration (as JSON) with a route for each database of [`DOORS`], spread over `groups`; `cap` is the maximum
+/// number of connections of each server.
 pub fn configuration_json(groups: &[(String, Vec<String>)], cap: u64) -> String {
     use base::edge::operator::{Configuration, Group, Route};
     use nanoserde::SerJson;
-    let row = |(i, (name, promise, _)): (usize, &(&str, &str, u64))| {
-        Route::with_defaults(name, &groups[i % groups.len()].0, promise)
+    let route = |(index, (name, consistency, _)): (usize, &(&str, &str, u64))| {
+        Route::with_defaults(name, &groups[index % groups.len()].0, consistency)
     };
-    let set = Configuration {
+    let configuration = Configuration {
         after: None,
-        doorways: DOORS.iter().enumerate().map(row).collect(),
-        groups: groups.iter().map(|(n, s)| Group::with_defaults(n, s, cap)).collect(),
+        doorways: DOORS.iter().enumerate().map(route).collect(),
+        groups: groups.iter().map(|(name, servers)| Group::with_defaults(name, servers, cap)).collect(),
         limits: None,
         number: None,
         note: String::new(),
     };
-    set.serialize_json()
+    configuration.serialize_json()
 }
 
-/// Drives the plan; the history grows as it goes.
+/// Runs the sessions of `plan` and appends each request to `history` as it ends.
+///
+/// When the planned duration is over, waits for the sessions to end, for at most 20 times the request timeout.
 pub async fn run(env: &Env, plan: &Plan, history: &Rc<History>) {
     let stop = Rc::new(Cell::new(false));
-    let left = Rc::new(Cell::new(plan.sessions));
-    let bell = base::notify::Notify::default();
+    let running_sessions = Rc::new(Cell::new(plan.sessions));
+    let session_ended = base::notify::Notify::default();
     let start = env.now();
-    let mut jobs = Vec::new();
-    for i in 0..plan.sessions {
-        let seat = ClientSession::new(env, plan, history, i as u64);
-        let (stop, left, bell) = (stop.clone(), left.clone(), bell.clone());
-        let gap = plan.sessions as f64 / plan.rate;
-        jobs.push(env.spawn(async move {
-            seat.run(start, gap, &stop).await;
-            left.set(left.get() - 1);
-            bell.notify_waiters();
+    let mut tasks = Vec::new();
+    for id in 0..plan.sessions {
+        let session = ClientSession::new(env, plan, history, id as u64);
+        let (stop, running_sessions, session_ended) = (stop.clone(), running_sessions.clone(), session_ended.clone());
+        let mean_gap_s = plan.sessions as f64 / plan.rate;
+        tasks.push(env.spawn(async move {
+            session.run(start, mean_gap_s, &stop).await;
+            running_sessions.set(running_sessions.get() - 1);
+            session_ended.notify_waiters();
         }));
     }
     env.sleep(plan.span).await;
     stop.set(true);
-    let all = bell.wait_until(|| (left.get() == 0).then_some(()));
-    let _ = env.timeout(plan.patience * 20, all).await;
+    let all_ended = session_ended.wait_until(|| (running_sessions.get() == 0).then_some(()));
+    let _ = env.timeout(plan.patience * 20, all_ended).await;
 }
 
-/// Numbers that no two seats share.
+/// A sequence of numbers shared by all sessions, so that no two use the same one.
 #[derive(Clone, Default)]
 pub struct IdSequence(Rc<RefCell<u64>>);
 
 impl IdSequence {
-    /// The next one.
+    /// The next number, starting at 1.
     pub fn next(&self) -> u64 {
-        let mut n = self.0.borrow_mut();
-        *n += 1;
-        *n
+        let mut last = self.0.borrow_mut();
+        *last += 1;
+        *last
     }
 }
--- a/kit/src/load/operator.rs
+++ b/kit/src/load/operator.rs
@@ -1,3 +1,5 @@
+//! Operators that change the configuration concurrently, and clients that observe which configuration nodes use.
+
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -16,23 +18,24 @@
 
 use super::Node;
 
-/// The doorway that operators move from group to group.
+/// The route that operators move from group to group.
 pub const MOVED_ROUTE: &str = "moved";
 
-/// A change an operator sent, and what became of it.
+/// A configuration change that an operator sent, and its outcome.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// The sequence it has if it took effect.
+    /// The configuration sequence that the change gets if it takes effect.
     pub sequence: u64,
+    /// The group that the moved route leads to after the change.
     pub group: String,
     pub sent: Duration,
-    /// When it was acknowledged.
+    /// When the change was acknowledged.
     pub acked: Option<Duration>,
-    /// It surely never takes effect.
+    /// Whether the change certainly never takes effect (it was refused).
     pub void: bool,
 }
 
-/// An area that was emptied, from the acknowledgement until the wish to take it back was sent.
+/// The evacuation of a zone, from its acknowledgement until the request to end it was sent.
 #[derive(Clone, Debug)]
 pub struct Emptied {
     pub area: String,
@@ -40,7 +43,7 @@
     pub until: Option<Duration>,
 }
 
-/// A read over the moved doorway.
+/// A read over the moved route: the group that served it, and when.
 #[derive(Clone, Debug)]
 pub struct Sight {
     pub node: String,
@@ -49,52 +52,59 @@
     pub done: Duration,
 }
 
-/// All that operators saw and did.
+/// What operators sent and observed, for the checkers.
 #[derive(Default)]
 pub struct Words {
     pub sent: RefCell<Vec<Sent>>,
     pub emptied: RefCell<Vec<Emptied>>,
     pub sights: RefCell<Vec<Sight>>,
+    /// Findings that operators made themselves.
     pub faults: RefCell<Vec<String>>,
-    /// For each emptied area and each server taken out: from when on no work may reach it.
+    /// For each evacuated zone and each server removed from its group: the time after which no work may reach it.
     pub closed: Rc<RefCell<BTreeMap<String, Duration>>>,
+    /// Number of acknowledged changes.
     pub acked: Cell<u64>,
+    /// Number of changes refused because of a version conflict.
     pub conflicts: Cell<u64>,
+    /// Number of changes refused for another reason.
     pub refused: Cell<u64>,
 }
 
 impl Words {
-    /// An area was acknowledged to be emptied.
-    pub fn emptied(&self, area: &str, now: Duration, bound: Duration) {
-        self.closed.borrow_mut().insert(area.into(), now + bound);
-        self.emptied.borrow_mut().push(Emptied { area: area.into(), from: now, until: None });
+    /// Records that the evacuation of a zone was acknowledged at `now`; no work may reach the zone later than `bound`
+    /// after that.
+    pub fn emptied(&self, zone: &str, now: Duration, bound: Duration) {
+        self.closed.borrow_mut().insert(zone.into(), now + bound);
+        self.emptied.borrow_mut().push(Emptied { area: zone.into(), from: now, until: None });
     }
 
-    /// An area is about to be taken back.
-    pub fn taken_back(&self, area: &str, now: Duration) {
-        self.closed.borrow_mut().remove(area);
-        self.emptied.borrow_mut().iter_mut().filter(|e| e.area == area && e.until.is_none()).for_each(|e| {
+    /// Records that the request to end the evacuation of a zone is about to be sent.
+    pub fn taken_back(&self, zone: &str, now: Duration) {
+        self.closed.borrow_mut().remove(zone);
+        self.emptied.borrow_mut().iter_mut().filter(|e| e.area == zone && e.until.is_none()).for_each(|e| {
             e.until = Some(now);
         });
     }
 }
 
-/// An operator, and a witness for each node.
+/// An operator, and the clients that observe the nodes.
 pub struct Operator {
     pub env: Env,
     pub nodes: Vec<Node>,
+    /// The control nodes.
     pub hubs: Vec<Node>,
+    /// Each group with its servers, spares included.
     pub groups: Vec<(String, Vec<String>)>,
     pub words: Rc<Words>,
-    /// Whether it also empties areas.
+    /// Whether the operator also evacuates zones.
     pub areas: bool,
-    /// How long an emptied area may still see work.
+    /// How long after an acknowledged evacuation work may still reach the zone.
     pub empty: Duration,
 }
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Sets that must never be taken, whatever else goes on.
+/// Request bodies that must never be accepted.
 const INVALID_CONFIGURATIONS: [&str; 9] = [
     "",
     "{",
@@ -109,83 +119,104 @@
 
 impl Operator {
     fn random_address(&self) -> SocketAddr {
-        let all = self.nodes.len() + self.hubs.len();
-        let at = self.env.rand_below(all as u64) as usize;
-        self.nodes.iter().chain(&self.hubs).nth(at).expect("there are nodes").addr
+        let count = self.nodes.len() + self.hubs.len();
+        let index = self.env.rand_below(count as u64) as usize;
+        self.nodes.iter().chain(&self.hubs).nth(index).expect("the deployment has at least one node").addr
     }
 
     async fn request(&self, addr: SocketAddr, method: &str, path: &str, body: String) -> Option<(u16, Bytes)> {
-        let out = Client::once(&self.env, addr, method, path, &[], body.into(), CALL_TIMEOUT).await.ok()?;
-        Some((out.status, out.body))
+        let response = Client::once(&self.env, addr, method, path, &[], body.into(), CALL_TIMEOUT).await.ok()?;
+        Some((response.status, response.body))
     }
 
     fn record_fault(&self, text: String) {
         self.words.faults.borrow_mut().push(text);
     }
 
-    /// Reads back the set; checks that it is the newest acknowledged.
+    /// Reads the configuration back from a random node. It must be at least as new as the newest change acknowledged before
+    /// the read, and as that change set it; otherwise records a finding.
     async fn read_back(&self) -> Option<ConfigurationView> {
         let start = self.env.now();
-        let (code, body) = self.request(self.random_address(), "GET", "/ops/doorways", String::new()).await?;
-        if code != 200 {
+        let (status, body) = self.request(self.random_address(), "GET", "/ops/doorways", String::new()).await?;
+        if status != 200 {
             return None;
         }
-        let set: ConfigurationView = match base::strict::read(&body) {
-            Ok(s) => s,
+        let configuration: ConfigurationView = match base::strict::read(&body) {
+            Ok(change) => change,
             Err(e) => {
-                self.record_fault(format!("a read-back can't be read: {e}"));
+                self.record_fault(format!("a configuration that was read back cannot be parsed: {e}"));
                 return None;
             }
         };
         let sent = self.words.sent.borrow();
-        let newest = sent.iter().filter(|s| s.acked.is_some_and(|a| a < start)).map(|s| s.sequence).max();
-        if newest.is_some_and(|n| set.sequence < n) {
-            self.record_fault(format!("read back sequence {} at {start:?}, after {newest:?} was acknowledged", set.sequence));
+        let newest =
+            sent.iter().filter(|change| change.acked.is_some_and(|a| a < start)).map(|change| change.sequence).max();
+        if newest.is_some_and(|n| configuration.sequence < n) {
+            self.record_fault(format!(
+                "sequence {} was read back at {start:?}, after {newest:?} was acknowledged",
+                configuration.sequence
+            ));
         }
-        if let Some(s) = sent.iter().find(|s| s.sequence == set.sequence && s.acked.is_some()) {
-            let group = set.doorways.iter().find(|d| d.name == MOVED_ROUTE).map(|d| d.group.clone());
-            if !s.group.is_empty() && group.as_ref() != Some(&s.group) {
-                self.record_fault(format!("sequence {} reads back as {group:?}, not {}", s.sequence, s.group));
+        if let Some(change) =
+            sent.iter().find(|change| change.sequence == configuration.sequence && change.acked.is_some())
+        {
+            let group = configuration.doorways.iter().find(|d| d.name == MOVED_ROUTE).map(|d| d.group.clone());
+            if !change.group.is_empty() && group.as_ref() != Some(&change.group) {
+                self.record_fault(format!(
+                    "sequence {} reads back as {group:?}, not {}",
+                    change.sequence, change.group
+                ));
             }
         }
-        Some(set)
+        Some(configuration)
     }
 
-    async fn move_route(&self, after: u64, group: &str, addr: SocketAddr) -> bool {
+    async fn move_route(&self, base_version: u64, group: &str, node: SocketAddr) -> bool {
         let put = vec![Route::with_defaults(MOVED_ROUTE, group, "any")];
-        let body = ConfigurationChange { put, ..ConfigurationChange::based_on(after) }.serialize_json();
-        self.send_change("PATCH", "/ops/doorways", body, after + 1, group, addr).await
+        let body = ConfigurationChange { put, ..ConfigurationChange::based_on(base_version) }.serialize_json();
+        self.send_change("PATCH", "/ops/doorways", body, base_version + 1, group, node).await
     }
 
-    async fn send_change(&self, method: &str, path: &str, body: String, seq: u64, group: &str, addr: SocketAddr) -> bool {
-        let at = {
+    async fn send_change(
+        &self,
+        method: &str,
+        path: &str,
+        body: String,
+        sequence: u64,
+        group: &str,
+        addr: SocketAddr,
+    ) -> bool {
+        let index = {
             let mut sent = self.words.sent.borrow_mut();
-            sent.push(Sent { sequence: seq, group: group.into(), sent: self.env.now(), acked: None, void: false });
+            sent.push(Sent { sequence, group: group.into(), sent: self.env.now(), acked: None, void: false });
             sent.len() - 1
         };
-        let out = self.request(addr, method, path, body).await;
+        let response = self.request(addr, method, path, body).await;
         let now = self.env.now();
-        let w = &self.words;
-        let mut sent = w.sent.borrow_mut();
-        match out {
+        let operator_history = &self.words;
+        let mut sent = operator_history.sent.borrow_mut();
+        match response {
             Some((200, body)) => {
-                sent[at].acked = Some(now);
-                w.acked.set(w.acked.get() + 1);
-                let told = String::from_utf8_lossy(&body).to_string();
-                if method == "PATCH" && told != format!("{{\"sequence\":{seq}}}") {
+                sent[index].acked = Some(now);
+                operator_history.acked.set(operator_history.acked.get() + 1);
+                let response_body = String::from_utf8_lossy(&body).to_string();
+                if method == "PATCH" && response_body != format!("{{\"sequence\":{sequence}}}") {
                     drop(sent);
-                    self.record_fault(format!("a change after {} was acknowledged as {told}", seq - 1));
+                    self.record_fault(format!(
+                        "a change based on {} was acknowledged as {response_body}",
+                        sequence - 1
+                    ));
                 }
                 true
             }
             Some((409, _)) => {
-                sent[at].void = true;
-                w.conflicts.set(w.conflicts.get() + 1);
+                sent[index].void = true;
+                operator_history.conflicts.set(operator_history.conflicts.get() + 1);
                 false
             }
             Some((400..=499 | 503 | 507, _)) => {
-                sent[at].void = true;
-                w.refused.set(w.refused.get() + 1);
+                sent[index].void = true;
+                operator_history.refused.set(operator_history.refused.get() + 1);
                 false
             }
             _ => false,
@@ -196,37 +227,41 @@
         self.groups[self.env.rand_below(self.groups.len() as u64) as usize].0.clone()
     }
 
-    async fn race_changes(&self, after: u64) {
-        let (a, b) = (self.random_group(), self.random_group());
-        let (one, two) =
-            futures::future::join(self.move_route(after, &a, self.random_address()), self.move_route(after, &b, self.random_address())).await;
-        if one && two {
-            self.record_fault(format!("two racing changes after {after} were both acknowledged"));
+    async fn race_changes(&self, base_version: u64) {
+        let (first_group, second_group) = (self.random_group(), self.random_group());
+        let (first_acknowledged, second_acknowledged) = futures::future::join(
+            self.move_route(base_version, &first_group, self.random_address()),
+            self.move_route(base_version, &second_group, self.random_address()),
+        )
+        .await;
+        if first_acknowledged && second_acknowledged {
+            self.record_fault(format!("two concurrent changes based on {base_version} were both acknowledged"));
         }
     }
 
     async fn send_invalid(&self) {
-        let text = INVALID_CONFIGURATIONS[self.env.rand_below(INVALID_CONFIGURATIONS.len() as u64) as usize];
+        let configuration = INVALID_CONFIGURATIONS[self.env.rand_below(INVALID_CONFIGURATIONS.len() as u64) as usize];
         let method = if self.env.rand_below(2) == 0 { "PUT" } else { "PATCH" };
-        if let Some((code, _)) = self.request(self.random_address(), method, "/ops/doorways", text.into()).await
-            && code < 400
+        if let Some((status, _)) =
+            self.request(self.random_address(), method, "/ops/doorways", configuration.into()).await
+            && status < 400
         {
-            self.record_fault(format!("{method} of {text:?} was answered {code}"));
+            self.record_fault(format!("{method} of {configuration:?} was answered {status}"));
         }
     }
 
     async fn evacuate_and_restore_zone(&self) {
-        let mut areas: Vec<String> = self.nodes.iter().map(|n| n.area.clone()).collect();
-        areas.sort();
-        areas.dedup();
-        let area = areas[self.env.rand_below(areas.len() as u64) as usize].clone();
-        let path = format!("/ops/areas/{area}/empty");
+        let mut zones: Vec<String> = self.nodes.iter().map(|n| n.area.clone()).collect();
+        zones.sort();
+        zones.dedup();
+        let zone = zones[self.env.rand_below(zones.len() as u64) as usize].clone();
+        let path = format!("/ops/areas/{zone}/empty");
         if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
-            self.words.emptied(&area, self.env.now(), self.empty);
+            self.words.emptied(&zone, self.env.now(), self.empty);
         }
         self.env.sleep(Duration::from_millis(6000 + self.env.rand_below(4000))).await;
-        self.words.taken_back(&area, self.env.now());
-        let path = format!("/ops/areas/{area}/take-back");
+        self.words.taken_back(&zone, self.env.now());
+        let path = format!("/ops/areas/{zone}/take-back");
         for _ in 0..60 {
             if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
                 return;
@@ -235,20 +270,21 @@
         }
     }
 
-    /// Changes, races, reads back, sends nonsense and empties areas until told to stop.
+    /// Runs the operator until `stop` is set: reads the configuration back and then, at random, sends a change, two
+    /// concurrent changes, a change based on an outdated version, an invalid configuration or an evacuation.
     pub async fn work(&self, stop: &Rc<Cell<bool>>) {
         while !stop.get() {
             self.env.sleep(Duration::from_millis(200 + self.env.rand_below(1500))).await;
-            let Some(set) = self.read_back().await else { continue };
+            let Some(configuration) = self.read_back().await else { continue };
             match self.env.rand_below(10) {
                 0..=3 => {
-                    self.move_route(set.sequence, &self.random_group(), self.random_address()).await;
+                    self.move_route(configuration.sequence, &self.random_group(), self.random_address()).await;
                 }
-                4..=5 => self.race_changes(set.sequence).await,
+                4..=5 => self.race_changes(configuration.sequence).await,
                 6
-                    // From an older state: it must lose.
-                    if set.sequence > 0 && self.move_route(set.sequence - 1, &self.random_group(), self.random_address()).await => {
-                        self.record_fault(format!("a change after {} was taken at {}", set.sequence - 1, set.sequence));
+                    // Based on an outdated version: it must be refused.
+                    if configuration.sequence > 0 && self.move_route(configuration.sequence - 1, &self.random_group(), self.random_address()).await => {
+                        self.record_fault(format!("a change based on {} was accepted at {}", configuration.sequence - 1, configuration.sequence));
                     }
                 7..=8 => self.send_invalid().await,
                 _ if self.areas => self.evacuate_and_restore_zone().await,
@@ -257,23 +293,23 @@
         }
     }
 
-    /// Reads over the moved doorway at one node again and again.
+    /// Reads over the moved route at one node until `stop` is set, and records which group served each read.
     pub async fn witness(&self, node: &Node, stop: &Rc<Cell<bool>>) {
-        let mut line: Option<Client> = None;
+        let mut connection: Option<Client> = None;
         while !stop.get() {
             self.env.sleep(Duration::from_millis(150 + self.env.rand_below(200))).await;
-            if !line.as_ref().is_some_and(Client::is_open) {
-                line = Client::connect(&self.env, node.addr, CALL_TIMEOUT, 1 << 20).await.ok();
+            if !connection.as_ref().is_some_and(Client::is_open) {
+                connection = Client::connect(&self.env, node.addr, CALL_TIMEOUT, 1 << 20).await.ok();
             }
-            let Some(l) = &mut line else { continue };
+            let Some(open_connection) = &mut connection else { continue };
             let start = self.env.now();
             let path = format!("/db/{MOVED_ROUTE}/read");
             let body = Bytes::from_static(b"{\"op\":\"get\",\"key\":\"none\"}");
-            let Ok(out) = l.call("POST", &path, &[], body, CALL_TIMEOUT).await else {
-                line = None;
+            let Ok(response) = open_connection.call("POST", &path, &[], body, CALL_TIMEOUT).await else {
+                connection = None;
                 continue;
             };
-            if let (200, Some(server)) = (out.status, out.header(base::edge::client::SERVER_HEADER)) {
+            if let (200, Some(server)) = (response.status, response.header(base::edge::client::SERVER_HEADER)) {
                 let group = self.groups.iter().find(|g| g.1.iter().any(|s| s == server)).map(|g| g.0.clone());
                 self.words.sights.borrow_mut().push(Sight {
                     node: node.name.clone(),
--- a/kit/src/load/report.rs
+++ b/kit/src/load/report.rs
@@ -1,3 +1,5 @@
+//! The summary of a run: outcomes and latencies by kind of request, and the findings of the checkers.
+
 use std::{collections::BTreeMap, time::Duration};
 
 use base::strict;
@@ -5,8 +7,9 @@
 use super::{End, Event, GAVE_UP, Kind};
 
 strict! {
-    /// One kind of work.
+    /// Outcome counts and latencies of one kind of request.
     pub struct WorkloadRow {
+        /// Database and kind of request.
         pub what: String,
         pub good: u64,
         pub refused: u64,
@@ -21,7 +24,7 @@
 }
 
 strict! {
-    /// One reason for work not done.
+    /// How often requests failed for one reason.
     pub struct FailureReason {
         pub why: String,
         pub count: u64,
@@ -29,46 +32,48 @@
 }
 
 strict! {
-    /// What a run came to.
+    /// The summary of a run.
     pub struct Report {
         pub rows: Vec<WorkloadRow>,
-        /// Answered as asked, of all but those whose callers left.
+        /// Fraction (0 to 1) of the requests that succeeded, those abandoned by their client left out.
         pub share: f64,
-        /// For each second: asked, and answered as asked.
+        /// Requests in each second of the run, by their scheduled time.
         pub asked: Vec<u64>,
+        /// How many of these succeeded.
         pub good: Vec<u64>,
         pub whys: Vec<FailureReason>,
         pub findings: Vec<String>,
     }
 }
 
-fn workload_label(e: &Event) -> String {
-    let kind = match &e.kind {
+fn workload_label(event: &Event) -> String {
+    let kind = match &event.kind {
         Kind::Write { adds, .. } if adds.len() > 1 => "transaction",
         Kind::Write { .. } => "write",
         Kind::Read { .. } => "read",
         Kind::Value { .. } | Kind::Step => "session value",
     };
-    format!("{} {kind}", e.db)
+    format!("{} {kind}", event.db)
 }
 
 impl Report {
-    /// Sums up a history; time is counted from when a request was meant to be sent.
+    /// Summarizes a history. Latency counts from the time for which a request was scheduled, so it includes the time that
+    /// the request waited for its session.
     pub fn new(events: &[Event], findings: Vec<String>) -> Self {
-        let mut all: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
-        for e in events {
-            all.entry(workload_label(e)).or_default().push(e);
+        let mut by_label: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
+        for event in events {
+            by_label.entry(workload_label(event)).or_default().push(event);
         }
-        let rows = all
+        let rows = by_label
             .into_iter()
-            .map(|(what, list)| {
-                let count = |end: End| list.iter().filter(|e| e.end == end).count() as u64;
+            .map(|(what, requests)| {
+                let count = |end: End| requests.iter().filter(|e| e.end == end).count() as u64;
                 let mut times: Vec<Duration> =
-                    list.iter().filter(|e| e.end == End::Good).map(|e| e.done - e.meant.min(e.start)).collect();
+                    requests.iter().filter(|e| e.end == End::Good).map(|e| e.done - e.meant.min(e.start)).collect();
                 times.sort();
-                let at = |part: f64| {
-                    let i = ((times.len() as f64 * part).ceil() as usize).saturating_sub(1);
-                    times.get(i).map_or(0.0, |t| t.as_secs_f64() * 1000.0)
+                let quantile_ms = |fraction: f64| {
+                    let index = ((times.len() as f64 * fraction).ceil() as usize).saturating_sub(1);
+                    times.get(index).map_or(0.0, |t| t.as_secs_f64() * 1000.0)
                 };
                 WorkloadRow {
                     what,
@@ -77,61 +82,77 @@
                     failed: count(End::Failed),
                     unknown: count(End::Unknown),
                     left: count(End::Left),
-                    p50_ms: at(0.5),
-                    p90_ms: at(0.9),
-                    p99_ms: at(0.99),
-                    max_ms: at(1.0),
+                    p50_ms: quantile_ms(0.5),
+                    p90_ms: quantile_ms(0.9),
+                    p99_ms: quantile_ms(0.99),
+                    max_ms: quantile_ms(1.0),
                 }
             })
             .collect();
         let start = events.iter().map(|e| e.meant).min().unwrap_or_default();
         let last = events.iter().map(|e| e.meant).max().unwrap_or_default();
-        let secs = (last - start).as_secs() as usize + 1;
-        let (mut asked, mut good) = (vec![0; secs], vec![0; secs]);
-        let mut whys: BTreeMap<String, u64> = BTreeMap::new();
-        for e in events.iter().filter(|e| e.end != End::Left && e.note != GAVE_UP) {
-            let at = (e.meant - start).as_secs() as usize;
-            asked[at] += 1;
-            if e.end == End::Good {
-                good[at] += 1;
+        let seconds = (last - start).as_secs() as usize + 1;
+        let (mut asked, mut good) = (vec![0; seconds], vec![0; seconds]);
+        let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
+        for event in events.iter().filter(|e| e.end != End::Left && e.note != GAVE_UP) {
+            let second = (event.meant - start).as_secs() as usize;
+            asked[second] += 1;
+            if event.end == End::Good {
+                good[second] += 1;
             } else {
-                let name = e.note.split('"').nth(3).unwrap_or(&e.note);
-                *whys.entry(format!("{:?} {} {name}", e.end, e.code)).or_default() += 1;
+                let reason = event.note.split('"').nth(3).unwrap_or(&event.note);
+                *reasons.entry(format!("{:?} {} {reason}", event.end, event.code)).or_default() += 1;
             }
         }
-        let (a, g): (u64, u64) = (asked.iter().sum(), good.iter().sum());
-        let whys = whys.into_iter().map(|(why, count)| FailureReason { why, count }).collect();
-        Self { rows, share: if a == 0 { 0.0 } else { g as f64 / a as f64 }, asked, good, whys, findings }
+        let (asked_sum, good_sum): (u64, u64) = (asked.iter().sum(), good.iter().sum());
+        let whys = reasons.into_iter().map(|(why, count)| FailureReason { why, count }).collect();
+        Self {
+            rows,
+            share: if asked_sum == 0 { 0.0 } else { good_sum as f64 / asked_sum as f64 },
+            asked,
+            good,
+            whys,
+            findings,
+        }
     }
 
-    /// As text for people.
+    /// The report as a table in plain text.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{:<22}{:>7}{:>9}{:>8}{:>9}{:>6}{:>9}{:>9}{:>9}{:>9}\n",
             "what", "good", "refused", "failed", "unknown", "left", "p50 ms", "p90 ms", "p99 ms", "max ms"
         );
-        for r in &self.rows {
+        for row in &self.rows {
             out.push_str(&format!(
                 "{:<22}{:>7}{:>9}{:>8}{:>9}{:>6}{:>9.1}{:>9.1}{:>9.1}{:>9.1}\n",
-                r.what, r.good, r.refused, r.failed, r.unknown, r.left, r.p50_ms, r.p90_ms, r.p99_ms, r.max_ms
+                row.what,
+                row.good,
+                row.refused,
+                row.failed,
+                row.unknown,
+                row.left,
+                row.p50_ms,
+                row.p90_ms,
+                row.p99_ms,
+                row.max_ms
             ));
         }
-        for w in &self.whys {
-            out.push_str(&format!("not done: {} x {}\n", w.count, w.why));
+        for reason in &self.whys {
+            out.push_str(&format!("not successful: {} x {}\n", reason.count, reason.why));
         }
-        out.push_str(&format!("answered as asked: {:.2} %\n", self.share * 100.0));
-        let secs: Vec<String> = self
+        out.push_str(&format!("successful: {:.2} %\n", self.share * 100.0));
+        let percentages: Vec<String> = self
             .asked
             .iter()
             .zip(&self.good)
-            .map(|(a, g)| if *a == 0 { "-".into() } else { format!("{}", g * 100 / a) })
+            .map(|(asked, good)| if *asked == 0 { "-".into() } else { format!("{}", good * 100 / asked) })
             .collect();
-        out.push_str(&format!("per second, %: {}\n", secs.join(" ")));
+        out.push_str(&format!("successful per second, %: {}\n", percentages.join(" ")));
         if self.findings.is_empty() {
             out.push_str("checker findings: none\n");
         }
-        for f in &self.findings {
-            out.push_str(&format!("FINDING {f}\n"));
+        for finding in &self.findings {
+            out.push_str(&format!("FINDING {finding}\n"));
         }
         out
     }
--- a/kit/src/main.rs
+++ b/kit/src/main.rs
@@ -13,7 +13,7 @@
 };
 use tool::{
     args::{Args, Tool},
-    ops, sim, soak, usage,
+    ops, sim, soak, usage_error,
 };
 
 fn show(report: &load::Report, json: bool) {
@@ -29,13 +29,14 @@
         Tool::Load(a) => {
             let env = boot::system_env(None);
             let node = |(i, t): (usize, &String)| {
-                let (area, addr) = t.split_once(',').unwrap_or_else(|| usage(format!("--node {t:?}: AREA,ADDRESS")));
-                let addr = addr.parse().unwrap_or_else(|_| usage(format!("--node {t:?}: no address")));
+                let (area, addr) =
+                    t.split_once(',').unwrap_or_else(|| usage_error(format!("--node {t:?}: AREA,ADDRESS")));
+                let addr = addr.parse().unwrap_or_else(|_| usage_error(format!("--node {t:?}: no address")));
                 load::Node { name: format!("node{}", i + 1), area: area.into(), addr }
             };
             let nodes: Vec<_> = a.node.iter().enumerate().map(node).collect();
             if nodes.is_empty() || a.rate <= 0.0 || a.sessions == 0 || a.seconds <= 0.0 {
-                usage("at least one --node, and --rate, --sessions and --seconds above 0, belong here".into());
+                usage_error("at least one --node, and --rate, --sessions and --seconds above 0, belong here".into());
             }
             let plan = load::Plan {
                 nodes,
@@ -73,15 +74,22 @@
         Tool::Soak(a) => soak(&a).await,
         Tool::Scale(a) => {
             let nodes: Result<Vec<usize>, _> = a.nodes.split(',').map(str::parse).collect();
-            let nodes = nodes.unwrap_or_else(|_| usage(format!("--nodes {:?}: numbers with commas", a.nodes)));
+            let nodes = nodes.unwrap_or_else(|_| usage_error(format!("--nodes {:?}: numbers with commas", a.nodes)));
             if nodes.contains(&0) || a.seconds <= 0.0 || a.seconds > 600.0 {
-                usage("--nodes above 0 and --seconds from 0 to 600 belong here".into());
+                usage_error("--nodes above 0 and --seconds from 0 to 600 belong here".into());
             }
             let own = std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
             let below = format!("portspoke-scale-{}", std::process::id());
             let folder = a.folder.unwrap_or_else(|| std::env::temp_dir().join(below));
             let span = Duration::from_secs_f64(a.seconds);
-            let run = fleet::ScaleRun { nodes, groups: a.groups, sessions: a.sessions, point_duration: span, folder, bins: own };
+            let run = fleet::ScaleRun {
+                nodes,
+                groups: a.groups,
+                sessions: a.sessions,
+                point_duration: span,
+                folder,
+                bins: own,
+            };
             if let Err(e) = tool::scale::run(&boot::system_env(None), &run).await {
                 eprintln!("{e}");
                 exit(2);
@@ -93,8 +101,8 @@
             let env = boot::system_env(None);
             let known = |t: &String| {
                 let parts: Vec<&str> = t.split(',').collect();
-                let [name, group, addr] = parts[..] else { usage(format!("--server {t:?}: NAME,GROUP,ADDRESS")) };
-                let addr = addr.parse().unwrap_or_else(|_| usage(format!("--server {t:?}: no address")));
+                let [name, group, addr] = parts[..] else { usage_error(format!("--server {t:?}: NAME,GROUP,ADDRESS")) };
+                let addr = addr.parse().unwrap_or_else(|_| usage_error(format!("--server {t:?}: no address")));
                 Known { name: name.into(), group: group.into(), addr }
             };
             match Platform::start(&env, a.addr, a.server.iter().map(known).collect()).await {
@@ -104,7 +112,7 @@
         }
         Tool::Fleet(a) => {
             let env = boot::system_env(None);
-            let steps = a.at.iter().map(|t| fleet::parse(t).unwrap_or_else(|e| usage(e))).collect();
+            let steps = a.at.iter().map(|t| fleet::parse(t).unwrap_or_else(|e| usage_error(e))).collect();
             let own = std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
             let folder =
                 a.folder.unwrap_or_else(|| std::env::temp_dir().join(format!("portspoke-{}", std::process::id())));
--- a/kit/src/server/follow.rs
+++ b/kit/src/server/follow.rs
@@ -1,3 +1,5 @@
+//! Replication on a replica: fetches log entries from the primary.
+
 use std::{convert::Infallible, pin::pin, rc::Rc, time::Duration};
 
 use base::{http::Client, strict};
@@ -7,7 +9,7 @@
 use super::{Entry, Server};
 
 strict! {
-    /// Entries that a leader hands to a follower.
+    /// Log entries that a primary sends to a replica, with the epoch of the primary.
     pub struct Batch {
         pub line: u64,
         pub entries: Vec<Entry>,
@@ -17,43 +19,45 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl Server {
-    /// Takes the log from the leader, for as long as this server follows one.
+    /// Copies the log of the primary for as long as this server is a replica. Runs until the server stops.
     pub(super) async fn follow(self: Rc<Self>) -> Result<(), Infallible> {
         loop {
             let Some(addr) = self.primary_addr.get().filter(|_| !self.is_primary.get() && !self.stalled.get()) else {
                 self.env.sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let moved = self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
-            let join = Client::connect(&self.env, addr, CALL_TIMEOUT, 64 << 20);
-            let Either::Left((Ok(mut line), _)) = select(pin!(join), pin!(moved)).await else {
+            let primary_changed =
+                self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
+            let connect = Client::connect(&self.env, addr, CALL_TIMEOUT, 64 << 20);
+            let Either::Left((Ok(mut connection), _)) = select(pin!(connect), pin!(primary_changed)).await else {
                 self.env.sleep(Duration::from_millis(50)).await;
                 continue;
             };
             while self.primary_addr.get() == Some(addr) && !self.is_primary.get() && !self.stalled.get() {
                 let after = self.log.borrow().len() as u64;
                 let path = {
-                    // The last entry is named by its line and its attempt: a leader that lost a part of its log may have
-                    // given the same place to another.
+                    // The last entry is identified by its epoch and attempt id as well: a primary that lost a part of its
+                    // log may have assigned the same index to another entry.
                     let log = self.log.borrow();
-                    let (of, send) = log.last().map_or((0, ""), |e| (e.line, e.send.as_str()));
-                    format!("/log?after={after}&of={of}&send={send}&line={}", self.line.get())
+                    let (last_epoch, last_attempt_id) = log.last().map_or((0, ""), |e| (e.line, e.send.as_str()));
+                    format!("/log?after={after}&of={last_epoch}&send={last_attempt_id}&line={}", self.epoch.get())
                 };
-                // A leader that changed is left at once, whatever the old one still owes.
-                let moved = self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
-                let call = line.call("GET", &path, &[], Bytes::new(), CALL_TIMEOUT);
-                let Either::Left((Ok(out), _)) = select(pin!(call), pin!(moved)).await else { break };
+                // When the primary changes, the pending request to the old one is dropped at once.
+                let primary_changed =
+                    self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
+                let call = connection.call("GET", &path, &[], Bytes::new(), CALL_TIMEOUT);
+                let Either::Left((Ok(response), _)) = select(pin!(call), pin!(primary_changed)).await else { break };
                 if self.primary_addr.get() != Some(addr) || self.is_primary.get() || self.stalled.get() {
                     break;
                 }
-                match out.status {
+                match response.status {
                     200 => {
-                        let Ok(batch) = base::strict::read::<Batch>(&out.body) else { break };
-                        if batch.line != self.line.get() || self.log.borrow().len() as u64 != after {
+                        let Ok(batch) = base::strict::read::<Batch>(&response.body) else { break };
+                        if batch.line != self.epoch.get() || self.log.borrow().len() as u64 != after {
                             break;
                         }
-                        for e in batch.entries {
-                            self.push(e);
+                        for entry in batch.entries {
+                            self.append(entry);
                         }
                     }
                     409 if after > 0 => self.truncate_log(after - 1),
--- a/kit/src/server/mod.rs
+++ b/kit/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in database server: one connection, one session; a replicated log; reports of itself.
+//! A stand-in database server with a replicated log. Each connection is a session; the server reports its state to nodes.
 
 mod follow;
 mod report;
@@ -21,44 +21,48 @@
     supervisor::Supervisor,
 };
 
-pub use serve::{RoleAssignment, Rows, Statement, StatsResponse, FaultRequest};
-pub use store::{Entry, Op, LogRecord};
+pub use serve::{FaultRequest, RoleAssignment, Rows, Statement, StatsResponse};
+pub use store::{Entry, LogRecord, Op};
 
-/// How a stand-in server is set up.
+/// The configuration of a stand-in server.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub name: String,
+    /// The server's zone.
     pub area: String,
     pub addr: SocketAddr,
-    /// HTTP addresses of nodes that take reports.
+    /// HTTP addresses of nodes that accept server reports.
     pub nodes: Vec<SocketAddr>,
+    /// Maximum number of connections.
     pub cap: usize,
-    /// How long it takes to warm up.
+    /// How long the server takes to warm up after its start.
     pub warm: Duration,
-    /// How long a statement takes.
+    /// How long each statement takes.
     pub work: Duration,
-    /// For each emptied area and each server taken out: from when on no work may come (kept by a checker).
+    /// For each evacuated zone and each server removed from its group: the time after which no work may arrive (maintained
+    /// by a checker).
     pub closed: Rc<RefCell<BTreeMap<String, Duration>>>,
-    /// How long after its draining was taken note of work may still come.
+    /// How long after a node acknowledged that the server drains work may still arrive.
     pub drain: Duration,
 }
 
-/// What a server counted; read by checkers.
+/// Counters of a server, for the checkers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stats {
     pub statements: u64,
+    /// Maximum number of connections open at once.
     pub most_open: u64,
-    /// Connections refused because the cap was reached.
+    /// Connections refused because the maximum was reached.
     pub over: u64,
-    /// Statements that came while it was colder than its work allowed.
+    /// Statements that arrived while more were running than the server allows during warm-up.
     pub flooded: u64,
-    /// Statements that came later than they may to a drained server or an emptied area.
+    /// Statements that arrived later than allowed, at a drained server or in an evacuated zone.
     pub late: u64,
-    /// Statements of one caller that met another's session values.
+    /// Statements of one client that ran in the session of another.
     pub mixed: u64,
-    /// Reads that came while it was sick.
+    /// Reads that failed because `sick` was set.
     pub spoilt: u64,
-    /// When the newest statement came.
+    /// When the latest statement arrived.
     pub last_statement_at: Duration,
 }
 
@@ -67,45 +71,47 @@
     pub(crate) env: Env,
     pub setup: Setup,
     pub(crate) log: RefCell<Vec<Entry>>,
+    /// Index of the last entry on disk.
     pub(crate) durable: Cell<u64>,
+    /// The values of each key.
     pub(crate) state: RefCell<BTreeMap<String, Vec<String>>>,
     pub(crate) is_primary: Cell<bool>,
-    pub(crate) line: Cell<u64>,
-    /// The identity of the log; a new one where the data folder was empty.
+    pub(crate) epoch: Cell<u64>,
+    /// Identifies the log; drawn anew when the data folder holds none.
     pub(crate) log_id: Cell<u64>,
     pub(crate) primary_addr: Cell<Option<SocketAddr>>,
     pub(crate) file_offset: Cell<u64>,
     pub(crate) state_changed: Notify,
     pub(crate) started_at: Duration,
     pub draining: Cell<bool>,
-    /// So many statements are run but never answered.
+    /// Number of further statements that are executed but never answered.
     pub mute: Cell<u64>,
-    /// So many statements are answered only after their due.
+    /// Number of further statements that are answered only after their timeout.
     pub late: Cell<u64>,
-    /// Every read fails.
+    /// Whether every read fails.
     pub sick: Cell<bool>,
-    /// A follower that no longer receives.
+    /// Whether replication from the primary is suspended.
     pub stalled: Cell<bool>,
     pub(crate) open_connections: Cell<usize>,
     pub(crate) running_statements: Cell<usize>,
     pub stats: RefCell<Stats>,
-    /// When draining was first told to a node and taken.
+    /// When a node first acknowledged the report that the server drains.
     pub drain_reported_at: Cell<Option<Duration>>,
     pub(crate) supervisor: RefCell<Option<Supervisor>>,
 }
 
 impl Server {
-    /// Starts a server with what its data folder holds.
+    /// Starts a server from the contents of its data folder. Fails if the address cannot be bound or the data not be read.
     pub async fn start(env: &Env, setup: Setup) -> std::io::Result<Rc<Self>> {
-        let sock: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(setup.addr).await?)));
-        let me = Rc::new(Self {
+        let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(setup.addr).await?)));
+        let server = Rc::new(Self {
             env: env.clone(),
             setup,
             log: RefCell::default(),
             durable: Cell::new(0),
             state: RefCell::default(),
             is_primary: Cell::new(false),
-            line: Cell::new(0),
+            epoch: Cell::new(0),
             log_id: Cell::new(env.rand() >> 11 | 1),
             primary_addr: Cell::new(None),
             file_offset: Cell::new(0),
@@ -122,43 +128,43 @@
             drain_reported_at: Cell::new(None),
             supervisor: RefCell::default(),
         });
-        me.load_data_file().await?;
-        let mut tree = Supervisor::new(env);
-        let s = me.clone();
-        tree.child("flush", move || s.clone().flush());
-        let s = me.clone();
-        tree.child("follow", move || s.clone().follow());
-        let s = me.clone();
-        tree.child("report", move || s.clone().send_reports());
-        let (s, e) = (me.clone(), env.clone());
-        let door = Endpoint::new(1000, 1 << 20);
-        tree.child("door", move || {
+        server.load_data_file().await?;
+        let mut supervisor = Supervisor::new(env);
+        let s = server.clone();
+        supervisor.child("flush", move || s.clone().flush());
+        let s = server.clone();
+        supervisor.child("follow", move || s.clone().follow());
+        let s = server.clone();
+        supervisor.child("report", move || s.clone().send_reports());
+        let (s, e) = (server.clone(), env.clone());
+        let endpoint = Endpoint::new(1000, 1 << 20);
+        supervisor.child("door", move || {
             let s = s.clone();
-            let make = Rc::new(move || Rc::new(serve::Connection::new(&s)) as Rc<dyn RequestHandler>);
-            http::serve(e.clone(), sock.clone(), door.clone(), make)
+            let make_handler = Rc::new(move || Rc::new(serve::Connection::new(&s)) as Rc<dyn RequestHandler>);
+            http::serve(e.clone(), listener.clone(), endpoint.clone(), make_handler)
         });
-        *me.supervisor.borrow_mut() = Some(tree);
-        env.log(Component::Kit, format!("server {} at {}", me.setup.name, me.setup.addr));
-        Ok(me)
+        *server.supervisor.borrow_mut() = Some(supervisor);
+        env.log(Component::Kit, format!("server {} listens on {}", server.setup.name, server.setup.addr));
+        Ok(server)
     }
 
-    /// The newest position that is on disk.
+    /// The position of the last entry on disk.
     pub fn durable_position(&self) -> Position {
         let index = self.durable.get();
-        let line = match index {
+        let epoch = match index {
             0 => 0,
             i => self.log.borrow().get(i as usize - 1).map_or(0, |e| e.line),
         };
-        Position { epoch: line, index }
+        Position { epoch, index }
     }
 
-    /// From 0, warm, to 1, stone cold.
+    /// How far the server is from being warm: 1 at the start, falling to 0 at the end of the warm-up.
     pub fn coldness(&self) -> f64 {
-        let up = self.env.now().saturating_sub(self.started_at);
-        if self.setup.warm.is_zero() || up >= self.setup.warm {
+        let uptime = self.env.now().saturating_sub(self.started_at);
+        if self.setup.warm.is_zero() || uptime >= self.setup.warm {
             return 0.0;
         }
-        1.0 - up.as_secs_f64() / self.setup.warm.as_secs_f64()
+        1.0 - uptime.as_secs_f64() / self.setup.warm.as_secs_f64()
     }
 
     /// All entries that are on disk.
@@ -166,7 +172,7 @@
         self.log.borrow()[..self.durable.get() as usize].to_vec()
     }
 
-    /// Whether the server holds itself for the leader.
+    /// Whether the server considers itself the primary of its group.
     pub fn leads(&self) -> bool {
         self.is_primary.get()
     }
--- a/kit/src/server/report.rs
+++ b/kit/src/server/report.rs
@@ -1,3 +1,5 @@
+//! Sends server reports to nodes.
+
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
 use base::{edge::backend::ServerReport, http::Client};
@@ -6,36 +8,36 @@
 use super::Server;
 
 impl Server {
-    /// Reports every half second to a node, to the next one when that fails.
+    /// Sends a report to one node every 500 ms; after a failure, moves on to the next node. Runs until the server stops.
     pub(super) async fn send_reports(self: Rc<Self>) -> Result<(), Infallible> {
         let nodes = self.setup.nodes.clone();
-        let mut at = self.env.rand_below(nodes.len() as u64) as usize;
+        let mut node_index = self.env.rand_below(nodes.len() as u64) as usize;
         loop {
             if nodes.is_empty() {
                 self.env.sleep(Duration::from_secs(3600)).await;
                 continue;
             }
-            let place = self.durable_position();
+            let position = self.durable_position();
             let draining = self.draining.get();
-            let body = ServerReport {
+            let report = ServerReport {
                 server: self.setup.name.clone(),
                 area: self.setup.area.clone(),
                 addr: self.setup.addr.to_string(),
                 leads: self.is_primary.get(),
                 draining,
                 cold: self.coldness(),
-                line: self.line.get(),
-                index: place.index,
+                line: self.epoch.get(),
+                index: position.index,
                 log: self.log_id.get(),
                 group: String::new(),
                 turn: 0,
                 leaving: false,
             };
-            let span = Duration::from_millis(700);
-            let text = body.serialize_json().into();
-            let out = Client::once(&self.env, nodes[at], "POST", "/report", &[], text, span).await;
-            match out {
-                Ok(o) if o.status == 200 => {
+            let timeout = Duration::from_millis(700);
+            let body = report.serialize_json().into();
+            let result = Client::once(&self.env, nodes[node_index], "POST", "/report", &[], body, timeout).await;
+            match result {
+                Ok(response) if response.status == 200 => {
                     if draining && self.drain_reported_at.get().is_none() {
                         self.drain_reported_at.set(Some(self.env.now()));
                     }
@@ -45,7 +47,7 @@
                     self.env.sleep(Duration::from_millis(500)).await;
                 }
                 _ => {
-                    at = (at + 1) % nodes.len();
+                    node_index = (node_index + 1) % nodes.len();
                     self.env.sleep(Duration::from_millis(100)).await;
                 }
             }
--- a/kit/src/server/serve.rs
+++ b/kit/src/server/serve.rs
@@ -1,3 +1,5 @@
+//! The HTTP interface of a stand-in server: statements, replication, role assignment, injected faults and counters.
+
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -17,19 +19,19 @@
 use super::{Entry, Op, Server, follow::Batch};
 
 strict! {
-    /// A statement in the stand-in's own small language.
+    /// A statement in the stand-in's own language.
     pub struct Statement {
-        /// add, get, show, run, set, prepare
+        /// The operation: `add`, `get`, `show`, `run`, `set` or `prepare`.
         pub op: String,
         pub key: String = String::new(),
         pub val: String = String::new(),
-        /// The caller, so that mixed sessions are noticed.
+        /// The client, so that statements in another client's session are detected.
         pub who: String = String::new(),
     }
 }
 
 strict! {
-    /// What a read gives.
+    /// The result of a read.
     pub struct Rows {
         pub key: String,
         pub vals: Vec<String>,
@@ -37,20 +39,23 @@
 }
 
 strict! {
-    /// What the platform tells a server.
+    /// The role that the platform assigns to a server.
     pub struct RoleAssignment {
+        /// Whether the server is the primary.
         pub leads: bool,
+        /// The epoch of the role.
         pub line: u64,
+        /// The address of the primary.
         pub addr: String,
-        /// Whose log may lead.
+        /// The log id that the primary must have; 0 for any.
         pub log: u64 = 0,
-        /// The place it must hold.
+        /// The position that the primary must have reached.
         pub from: String = String::new(),
     }
 }
 
 strict! {
-    /// A failure that a test asks for.
+    /// Faults to inject; each field that is absent stays as it was. The fields are those of `Server`.
     pub struct FaultRequest {
         pub draining: Option<bool> = None,
         pub mute: Option<u64> = None,
@@ -59,7 +64,7 @@
 }
 
 strict! {
-    /// Counters as read by checkers.
+    /// The counters of a server; see `Stats`.
     pub struct StatsResponse {
         pub statements: u64,
         pub most_open: u64,
@@ -70,17 +75,18 @@
     }
 }
 
+/// The state of a session, which lasts as long as its connection.
 #[derive(Default)]
 struct SessionState {
     holds_connection: Cell<bool>,
     transaction: RefCell<Option<Vec<Op>>>,
-    send: RefCell<String>,
+    attempt_id: RefCell<String>,
     values: RefCell<BTreeMap<String, String>>,
     prepared: RefCell<BTreeMap<String, String>>,
     client: RefCell<String>,
 }
 
-/// Counts a statement for as long as it runs, answered or not.
+/// Counts a statement as running for as long as the guard lives.
 struct RunningStatement(Rc<Server>);
 
 impl RunningStatement {
@@ -96,14 +102,14 @@
     }
 }
 
-/// One connection: one database session.
+/// A connection, which is one database session.
 pub struct Connection {
     server: Rc<Server>,
     session: Rc<SessionState>,
 }
 
 impl Connection {
-    /// A session with nothing set.
+    /// Creates a connection with an empty session.
     pub fn new(server: &Rc<Server>) -> Self {
         Self { server: server.clone(), session: Rc::default() }
     }
@@ -118,9 +124,9 @@
 }
 
 impl RequestHandler for Connection {
-    fn handle(&self, ask: HttpRequest) -> LocalFuture<HttpResponse> {
-        let (server, own) = (self.server.clone(), self.session.clone());
-        Box::pin(async move { server.answer(&own, ask).await })
+    fn handle(&self, request: HttpRequest) -> LocalFuture<HttpResponse> {
+        let (server, session) = (self.server.clone(), self.session.clone());
+        Box::pin(async move { server.answer(&session, request).await })
     }
 }
 
@@ -133,74 +139,81 @@
     query_param(path, name).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn json_response(code: u16, t: String) -> HttpResponse {
-    HttpResponse::new(code, t).with_header("content-type", "application/json")
+fn json_response(status: u16, body: String) -> HttpResponse {
+    HttpResponse::new(status, body).with_header("content-type", "application/json")
 }
 
-fn not_executed(code: u16, why: &str) -> HttpResponse {
-    json_response(code, format!("{{\"why\":\"{why}\"}}")).with_header(backend::EXECUTED_HEADER, "no")
+fn not_executed(status: u16, why: &str) -> HttpResponse {
+    json_response(status, format!("{{\"why\":\"{why}\"}}")).with_header(backend::EXECUTED_HEADER, "no")
 }
 
 impl Server {
-    async fn answer(self: &Rc<Self>, own: &Rc<SessionState>, ask: HttpRequest) -> HttpResponse {
-        let path = ask.path.split('?').next().unwrap_or("").to_string();
+    async fn answer(self: &Rc<Self>, session: &Rc<SessionState>, request: HttpRequest) -> HttpResponse {
+        let path = request.path.split('?').next().unwrap_or("").to_string();
         match path.as_str() {
-            "/log" => return self.on_log(&ask.path).await,
-            "/control" => return self.on_control(&ask.body),
-            "/trouble" => return self.on_fault(&ask.body),
+            "/log" => return self.on_log(&request.path).await,
+            "/control" => return self.on_control(&request.body),
+            "/trouble" => return self.on_fault(&request.body),
             "/dump" => return json_response(200, self.entries().serialize_json()),
             "/stats" => return self.on_stats(),
             _ => {}
         }
-        if !own.holds_connection.get() {
+        if !session.holds_connection.get() {
             let open = self.open_connections.get() + 1;
             if open > self.setup.cap {
                 self.stats.borrow_mut().over += 1;
-                let mut out = not_executed(429, "no connection left");
-                out.close = true;
-                return out;
+                let mut response = not_executed(429, "no connection left");
+                response.close = true;
+                return response;
             }
-            own.holds_connection.set(true);
+            session.holds_connection.set(true);
             self.open_connections.set(open);
-            let mut st = self.stats.borrow_mut();
-            st.most_open = st.most_open.max(open as u64);
+            let mut stats = self.stats.borrow_mut();
+            stats.most_open = stats.most_open.max(open as u64);
         }
-        let out = if path == backend::POSITION_PATH {
-            self.on_position(&ask.path).await
+        let response = if path == backend::POSITION_PATH {
+            self.on_position(&request.path).await
         } else {
-            self.work(own, &path, &ask).await
+            self.on_statement(session, &path, &request).await
         };
-        let Some(out) = out else { return futures::future::pending().await };
-        out.with_header(backend::POSITION_HEADER, self.durable_position())
+        let Some(response) = response else { return futures::future::pending().await };
+        response
+            .with_header(backend::POSITION_HEADER, self.durable_position())
             .with_header(backend::LOG_ID_HEADER, self.log_id.get())
             .with_header(backend::IS_PRIMARY_HEADER, u8::from(self.is_primary.get()))
             .with_header(backend::DRAINING_HEADER, u8::from(self.draining.get()))
     }
 
     async fn on_position(&self, path: &str) -> Option<HttpResponse> {
-        let reach: Position = query_param(path, "reach").and_then(|p| p.parse().ok()).unwrap_or_default();
-        let wait = self.state_changed.wait_until(|| (self.durable_position() >= reach).then_some(()));
-        let _ = self.env.timeout(Duration::from_millis(100), wait).await;
+        let awaited_position: Position = query_param(path, "reach").and_then(|p| p.parse().ok()).unwrap_or_default();
+        let position_reached =
+            self.state_changed.wait_until(|| (self.durable_position() >= awaited_position).then_some(()));
+        let _ = self.env.timeout(Duration::from_millis(100), position_reached).await;
         Some(json_response(200, "{}".into()))
     }
 
-    async fn work(self: &Rc<Self>, own: &Rc<SessionState>, path: &str, ask: &HttpRequest) -> Option<HttpResponse> {
-        let most = (self.setup.cap as f64 * (1.0 - self.coldness())).ceil() as usize + 12;
+    async fn on_statement(
+        self: &Rc<Self>,
+        session: &Rc<SessionState>,
+        path: &str,
+        request: &HttpRequest,
+    ) -> Option<HttpResponse> {
+        let max_running = (self.setup.cap as f64 * (1.0 - self.coldness())).ceil() as usize + 12;
         {
-            let mut st = self.stats.borrow_mut();
-            st.statements += 1;
-            st.last_statement_at = self.env.now();
-            if self.running_statements.get() > most {
-                st.flooded += 1;
+            let mut stats = self.stats.borrow_mut();
+            stats.statements += 1;
+            stats.last_statement_at = self.env.now();
+            if self.running_statements.get() > max_running {
+                stats.flooded += 1;
             }
-            if self.is_past_drain() && !matches!(path, "/rollback" | backend::RESET_PATH) {
-                st.late += 1;
+            if self.is_past_work_deadline() && !matches!(path, "/rollback" | backend::RESET_PATH) {
+                stats.late += 1;
             }
         }
-        let busy = RunningStatement::new(self);
+        let running_guard = RunningStatement::new(self);
         self.env.sleep(self.setup.work).await;
-        let out = self.execute(own, path, ask).await;
-        drop(busy);
+        let response = self.execute(session, path, request).await;
+        drop(running_guard);
         if self.late.get() > 0 && path != backend::RESET_PATH {
             self.late.set(self.late.get() - 1);
             self.env.sleep(Duration::from_millis(4300)).await;
@@ -209,187 +222,200 @@
             self.mute.set(self.mute.get() - 1);
             return None;
         }
-        Some(out)
+        Some(response)
     }
 
-    /// Whether no work may come any more.
-    fn is_past_drain(&self) -> bool {
+    /// Whether work that arrives now is too late: the zone was evacuated, the server removed or drained.
+    fn is_past_work_deadline(&self) -> bool {
         let now = self.env.now();
         let closed = self.setup.closed.borrow();
-        let closed = [&self.setup.area, &self.setup.name].iter().any(|n| closed.get(*n).is_some_and(|t| now > *t));
-        let drained = self.draining.get() && self.drain_reported_at.get().is_some_and(|t| now > t + self.setup.drain);
-        closed || drained
+        let is_closed =
+            [&self.setup.area, &self.setup.name].iter().any(|name| closed.get(*name).is_some_and(|t| now > *t));
+        let is_drained =
+            self.draining.get() && self.drain_reported_at.get().is_some_and(|t| now > t + self.setup.drain);
+        is_closed || is_drained
     }
 
-    async fn execute(self: &Rc<Self>, own: &Rc<SessionState>, path: &str, ask: &HttpRequest) -> HttpResponse {
+    async fn execute(self: &Rc<Self>, session: &Rc<SessionState>, path: &str, request: &HttpRequest) -> HttpResponse {
         if path == backend::RESET_PATH {
-            own.transaction.borrow_mut().take();
-            own.values.borrow_mut().clear();
-            own.prepared.borrow_mut().clear();
-            own.client.borrow_mut().clear();
+            session.transaction.borrow_mut().take();
+            session.values.borrow_mut().clear();
+            session.prepared.borrow_mut().clear();
+            session.client.borrow_mut().clear();
             return json_response(200, "{}".into());
         }
-        let send = ask.header(client::ATTEMPT_ID_HEADER).unwrap_or("").to_string();
-        let line: Option<u64> = ask.header(backend::EPOCH_HEADER).and_then(|l| l.parse().ok());
-        let mine = self.is_primary.get() && line.is_none_or(|l| l == self.line.get());
+        let attempt_id = request.header(client::ATTEMPT_ID_HEADER).unwrap_or("").to_string();
+        let epoch: Option<u64> = request.header(backend::EPOCH_HEADER).and_then(|l| l.parse().ok());
+        let is_current_primary = self.is_primary.get() && epoch.is_none_or(|l| l == self.epoch.get());
         match path {
             "/rollback" => {
-                own.transaction.borrow_mut().take();
+                session.transaction.borrow_mut().take();
                 return json_response(200, "{}".into());
             }
-            "/begin" | "/write" | "/commit" if !mine => return not_executed(421, "not leading on that line"),
+            "/begin" | "/write" | "/commit" if !is_current_primary => {
+                return not_executed(421, "not leading on that line");
+            }
             "/begin" => {
-                *own.transaction.borrow_mut() = Some(Vec::new());
-                *own.send.borrow_mut() = send;
+                *session.transaction.borrow_mut() = Some(Vec::new());
+                *session.attempt_id.borrow_mut() = attempt_id;
                 return json_response(200, "{}".into());
             }
             "/commit" => {
-                let Some(ops) = own.transaction.borrow_mut().take() else { return not_executed(409, "no transaction") };
-                let send = own.send.borrow().clone();
-                return self.commit(send, ops).await;
+                let Some(ops) = session.transaction.borrow_mut().take() else {
+                    return not_executed(409, "no transaction");
+                };
+                let attempt_id = session.attempt_id.borrow().clone();
+                return self.commit(attempt_id, ops).await;
             }
             _ => {}
         }
-        let Ok(st) = base::strict::read::<Statement>(&ask.body) else { return not_executed(400, "cannot read") };
+        let Ok(statement) = base::strict::read::<Statement>(&request.body) else {
+            return not_executed(400, "cannot read");
+        };
         if self.sick.get() && path == "/read" {
             self.stats.borrow_mut().spoilt += 1;
             return json_response(500, "{\"why\":\"sick\"}".into());
         }
-        match (path, st.op.as_str()) {
+        match (path, statement.op.as_str()) {
             ("/write", "add") => {
-                let op = Op { key: st.key, val: st.val };
-                if let Some(list) = &mut *own.transaction.borrow_mut() {
+                let op = Op { key: statement.key, val: statement.val };
+                if let Some(list) = &mut *session.transaction.borrow_mut() {
                     list.push(op);
                     return json_response(200, "{}".into());
                 }
-                self.commit(send, vec![op]).await
+                self.commit(attempt_id, vec![op]).await
             }
-            ("/read", "get") => self.read_rows(own, &st.key),
+            ("/read", "get") => self.read_rows(session, &statement.key),
             ("/read", "run") => {
-                let key = own.prepared.borrow().get(&st.key).cloned();
+                let key = session.prepared.borrow().get(&statement.key).cloned();
                 match key {
-                    Some(k) => self.read_rows(own, &k),
+                    Some(k) => self.read_rows(session, &k),
                     None => json_response(404, "{\"why\":\"no such prepared name\"}".into()),
                 }
             }
             ("/read", "show") => {
-                if !own.client.borrow().is_empty() && *own.client.borrow() != st.who {
+                if !session.client.borrow().is_empty() && *session.client.borrow() != statement.who {
                     self.stats.borrow_mut().mixed += 1;
                 }
-                let vals = own.values.borrow().get(&st.key).cloned().into_iter().collect();
-                json_response(200, Rows { key: st.key, vals }.serialize_json())
+                let vals = session.values.borrow().get(&statement.key).cloned().into_iter().collect();
+                json_response(200, Rows { key: statement.key, vals }.serialize_json())
             }
             ("/set", "set") => {
-                *own.client.borrow_mut() = st.who;
-                own.values.borrow_mut().insert(st.key, st.val);
+                *session.client.borrow_mut() = statement.who;
+                session.values.borrow_mut().insert(statement.key, statement.val);
                 json_response(200, "{}".into())
             }
             ("/prepare", "prepare") => {
-                *own.client.borrow_mut() = st.who;
-                own.prepared.borrow_mut().insert(st.key, st.val);
+                *session.client.borrow_mut() = statement.who;
+                session.prepared.borrow_mut().insert(statement.key, statement.val);
                 json_response(200, "{}".into())
             }
             _ => not_executed(400, "no such statement"),
         }
     }
 
-    fn read_rows(&self, own: &SessionState, key: &str) -> HttpResponse {
+    fn read_rows(&self, session: &SessionState, key: &str) -> HttpResponse {
         let mut vals = self.state.borrow().get(key).cloned().unwrap_or_default();
-        if let Some(ops) = &*own.transaction.borrow() {
+        if let Some(ops) = &*session.transaction.borrow() {
             vals.extend(ops.iter().filter(|o| o.key == key).map(|o| o.val.clone()));
         }
         json_response(200, Rows { key: key.into(), vals }.serialize_json())
     }
 
-    async fn commit(&self, send: String, ops: Vec<Op>) -> HttpResponse {
+    async fn commit(&self, attempt_id: String, ops: Vec<Op>) -> HttpResponse {
         if !self.is_primary.get() {
             return not_executed(421, "not leading");
         }
-        let line = self.line.get();
-        let index = self.push(Entry { line, send, ops });
-        if !self.wait_until_durable(index, line).await {
+        let epoch = self.epoch.get();
+        let index = self.append(Entry { line: epoch, send: attempt_id, ops });
+        if !self.wait_until_durable(index, epoch).await {
             return json_response(500, "{\"why\":\"cut off\"}".into());
         }
         json_response(200, format!("{{\"index\":{index}}}"))
     }
 
     async fn on_log(&self, path: &str) -> HttpResponse {
-        let (after, of, line) = (query_number(path, "after"), query_number(path, "of"), query_number(path, "line"));
-        let send = query_param(path, "send").unwrap_or("");
-        if !self.is_primary.get() || self.line.get() != line {
+        let (after, last_epoch, epoch) =
+            (query_number(path, "after"), query_number(path, "of"), query_number(path, "line"));
+        let last_attempt_id = query_param(path, "send").unwrap_or("");
+        if !self.is_primary.get() || self.epoch.get() != epoch {
             return json_response(421, "{}".into());
         }
         {
             let log = self.log.borrow();
-            let fits = after == 0 || log.get(after as usize - 1).is_some_and(|e| e.line == of && e.send == send);
-            if !fits && of == line {
-                // What a follower holds of this line came from its leader: this log lost it, and nobody may cut after it.
+            let is_prefix = after == 0
+                || log.get(after as usize - 1).is_some_and(|e| e.line == last_epoch && e.send == last_attempt_id);
+            if !is_prefix && last_epoch == epoch {
+                // The replica has an entry of this epoch, which it can only have from this primary: this log lost the
+                // entry, and the replica must not remove it.
                 return json_response(410, "{}".into());
             }
-            if !fits {
+            if !is_prefix {
                 return json_response(409, "{}".into());
             }
         }
-        // Only what is on this disk is handed out: a leader that restarts must not have less than its followers.
-        let more = self.state_changed.wait_until(|| (self.durable.get() > after).then_some(()));
-        let _ = self.env.timeout(Duration::from_millis(200), more).await;
-        if self.line.get() != line || !self.is_primary.get() {
+        // Only durable entries are sent: a primary that restarts must not have fewer entries than its replicas.
+        let has_more = self.state_changed.wait_until(|| (self.durable.get() > after).then_some(()));
+        let _ = self.env.timeout(Duration::from_millis(200), has_more).await;
+        if self.epoch.get() != epoch || !self.is_primary.get() {
             return json_response(421, "{}".into());
         }
-        let room = self.durable.get().saturating_sub(after).min(500) as usize;
-        let entries = self.log.borrow().iter().skip(after as usize).take(room).cloned().collect();
-        json_response(200, Batch { line, entries }.serialize_json())
+        let count = self.durable.get().saturating_sub(after).min(500) as usize;
+        let entries = self.log.borrow().iter().skip(after as usize).take(count).cloned().collect();
+        json_response(200, Batch { line: epoch, entries }.serialize_json())
     }
 
     fn on_control(&self, body: &[u8]) -> HttpResponse {
-        let Ok(c) = base::strict::read::<RoleAssignment>(body) else { return json_response(400, "{}".into()) };
-        if c.line < self.line.get() {
+        let Ok(assignment) = base::strict::read::<RoleAssignment>(body) else { return json_response(400, "{}".into()) };
+        if assignment.line < self.epoch.get() {
             return json_response(409, "{}".into());
         }
-        let from: Position = c.from.parse().unwrap_or_default();
-        let other = c.log != 0 && c.log != self.log_id.get();
-        if c.leads && (other || (c.line > self.line.get() && self.durable_position() < from)) {
-            // Named for a log that is no more, or that was longer.
+        let election_position: Position = assignment.from.parse().unwrap_or_default();
+        let is_other_log = assignment.log != 0 && assignment.log != self.log_id.get();
+        if assignment.leads
+            && (is_other_log || (assignment.line > self.epoch.get() && self.durable_position() < election_position))
+        {
+            // The primary was elected by a log that no longer exists, or that was longer.
             return json_response(409, "{}".into());
         }
-        let moved = c.line > self.line.get();
-        self.line.set(c.line);
-        if c.leads && moved {
+        let is_new_epoch = assignment.line > self.epoch.get();
+        self.epoch.set(assignment.line);
+        if assignment.leads && is_new_epoch {
             self.is_primary.set(true);
             self.primary_addr.set(None);
-            self.push(Entry { line: c.line, send: String::new(), ops: Vec::new() });
-        } else if !c.leads {
+            self.append(Entry { line: assignment.line, send: String::new(), ops: Vec::new() });
+        } else if !assignment.leads {
             self.is_primary.set(false);
-            self.primary_addr.set(c.addr.parse().ok());
+            self.primary_addr.set(assignment.addr.parse().ok());
             self.state_changed.notify_waiters();
         }
         json_response(200, "{}".into())
     }
 
     fn on_fault(&self, body: &[u8]) -> HttpResponse {
-        let Ok(t) = base::strict::read::<FaultRequest>(body) else { return json_response(400, "{}".into()) };
-        if let Some(d) = t.draining {
-            self.draining.set(d);
+        let Ok(fault) = base::strict::read::<FaultRequest>(body) else { return json_response(400, "{}".into()) };
+        if let Some(draining) = fault.draining {
+            self.draining.set(draining);
         }
-        if let Some(n) = t.mute {
-            self.mute.set(n);
+        if let Some(mute) = fault.mute {
+            self.mute.set(mute);
         }
-        if let Some(s) = t.stalled {
-            self.stalled.set(s);
+        if let Some(stalled) = fault.stalled {
+            self.stalled.set(stalled);
         }
         json_response(200, "{}".into())
     }
 
     fn on_stats(&self) -> HttpResponse {
-        let s = self.stats.borrow();
-        let row = StatsResponse {
-            statements: s.statements,
-            most_open: s.most_open,
-            over: s.over,
-            flooded: s.flooded,
-            mixed: s.mixed,
-            late: s.late,
+        let stats = self.stats.borrow();
+        let response = StatsResponse {
+            statements: stats.statements,
+            most_open: stats.most_open,
+            over: stats.over,
+            flooded: stats.flooded,
+            mixed: stats.mixed,
+            late: stats.late,
         };
-        json_response(200, row.serialize_json())
+        json_response(200, response.serialize_json())
     }
 }
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -227,7 +227,17 @@
         };
         let plans = groups.iter().map(plan).collect();
         let processes = processes.map_err(|e| format!("{}: {e}", soak.folder.display()))?;
-        Ok(Self { env: env.clone(), processes, access_points: access, control_points: control, bank, servers, plans, _network: network, _tasks: jobs })
+        Ok(Self {
+            env: env.clone(),
+            processes,
+            access_points: access,
+            control_points: control,
+            bank,
+            servers,
+            plans,
+            _network: network,
+            _tasks: jobs,
+        })
     }
 
     fn start(&mut self) -> Result<(), String> {
@@ -239,7 +249,7 @@
     fn restart_exited(&mut self, dice: &Dice) -> Result<(), String> {
         let now = self.env.now();
         for process in &mut self.processes {
-            process.look(now, dice.span(MAX_RESTART_DELAY));
+            process.poll_exit(now, dice.span(MAX_RESTART_DELAY));
             if process.restart_at.is_some_and(|at| now >= at) {
                 process.start(now).map_err(|e| format!("{}: {e}", process.name()))?;
             }
@@ -369,7 +379,7 @@
     if !interrupted {
         env.sleep(SETTLE_TIME).await;
     }
-    let read = if interrupted { Some(0) } else { reader.newest().await };
+    let read = if interrupted { Some(0) } else { reader.read_newest().await };
     let mut histories = fleet.histories();
     let nodes = histories.split_off(CONTROL_NODES);
     let mut verdict = judge(&callers.statements.borrow(), &nodes, &histories, RULES, env.now());
--- a/kit/src/soak/operator.rs
+++ b/kit/src/soak/operator.rs
@@ -74,7 +74,7 @@
                 self.orders.newest_acknowledged.set(self.orders.newest_acknowledged.get().max(newest));
             }
             // One without a clear answer may be in force or not: the newest is read before the next is built on it.
-            after = self.newest().await.unwrap_or(self.orders.newest_acknowledged.get());
+            after = self.read_newest().await.unwrap_or(self.orders.newest_acknowledged.get());
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// The newest number that is in force; anything older than what was acknowledged is a finding.
-    pub async fn newest(&self) -> Option<u64> {
+    pub async fn read_newest(&self) -> Option<u64> {
         let acknowledged = self.orders.newest_acknowledged.get();
         let end = self.env.now() + RETRY_TIMEOUT;
         let mut turn = 0;
@@ -118,7 +118,10 @@
             turn += 1;
             if let Some(read) = read_back(&self.env, node, CALL_TIMEOUT).await {
                 if read.number < acknowledged {
-                    self.record_finding(format!("version {} was read back after {acknowledged} was acknowledged", read.number));
+                    self.record_finding(format!(
+                        "version {} was read back after {acknowledged} was acknowledged",
+                        read.number
+                    ));
                 }
                 return Some(read.number);
             }
--- a/kit/src/soak/processes.rs
+++ b/kit/src/soak/processes.rs
@@ -103,7 +103,7 @@
     }
 
     /// Looks whether it ended; it is started again after `pause`.
-    pub fn look(&mut self, now: Duration, pause: Duration) {
+    pub fn poll_exit(&mut self, now: Duration, pause: Duration) {
         let Some(child) = &mut self.child else { return };
         if let Ok(Some(status)) = child.try_wait() {
             self.child = None;
--- a/kit/src/tool/mod.rs
+++ b/kit/src/tool/mod.rs
@@ -11,7 +11,7 @@
 pub use soak::soak;
 
 /// Tells what is wrong with the arguments, and ends.
-pub fn usage(text: String) -> ! {
+pub fn usage_error(text: String) -> ! {
     eprintln!("{text}");
     std::process::exit(64)
 }
--- a/kit/src/tool/ops.rs
+++ b/kit/src/tool/ops.rs
@@ -3,12 +3,12 @@
 use base::boot;
 use kit::fleet;
 
-use super::{args::OpsArgs, usage};
+use super::{args::OpsArgs, usage_error};
 
 /// Method, path and body of an operator's word.
 fn request(word: &str, of: Option<&str>) -> (&'static str, String, String) {
-    let need = || of.unwrap_or_else(|| usage(format!("{word}: say of what")));
-    let file = || std::fs::read_to_string(need()).unwrap_or_else(|e| usage(format!("{}: {e}", need())));
+    let need = || of.unwrap_or_else(|| usage_error(format!("{word}: say of what")));
+    let file = || std::fs::read_to_string(need()).unwrap_or_else(|e| usage_error(format!("{}: {e}", need())));
     let none = String::new();
     match word {
         "set" => ("PUT", "/ops/doorways".into(), file()),
@@ -23,7 +23,7 @@
         "members" | "servers" | "leads" | "grants" => ("GET", format!("/ops/{word}"), none),
         "status" | "lists" | "journal" | "metrics" => ("GET", format!("/{word}"), none),
         "decisions" => ("GET", format!("/decisions/{}", need()), none),
-        _ => usage(format!("{word:?}: no such word; see kit ops --help")),
+        _ => usage_error(format!("{word:?}: no such word; see kit ops --help")),
     }
 }
 
@@ -38,10 +38,10 @@
     };
     if matches!(a.word.as_str(), "join" | "leave") {
         let join = a.word == "join";
-        let of = a.of.as_deref().unwrap_or_else(|| usage(format!("{}: say of what", a.word)));
+        let of = a.of.as_deref().unwrap_or_else(|| usage_error(format!("{}: say of what", a.word)));
         let (group, server) = match of.split_once('/') {
             Some(both) => both,
-            None if join => usage(format!("join {of:?}: GROUP/SERVER")),
+            None if join => usage_error(format!("join {of:?}: GROUP/SERVER")),
             None => ("", of),
         };
         match fleet::change_membership(&boot::system_env(None), a.node, group, server, join).await {
--- a/kit/src/tool/scale.rs
+++ b/kit/src/tool/scale.rs
@@ -34,7 +34,7 @@
     if run.sessions > 0 {
         println!("\n| idle sessions at one spoke | bytes for each |\n| ---: | ---: |");
         for i in fleet::measure_idle_sessions(env, run).await? {
-            println!("| {} | {:.0} |", i.sessions, i.bytes);
+            println!("| {} | {:.0} |", i.sessions, i.bytes_per_session);
         }
     }
     Ok(())
--- a/kit/src/tool/sim.rs
+++ b/kit/src/tool/sim.rs
@@ -2,14 +2,14 @@
 
 use kit::sim::Draw;
 
-use super::{args::SimArgs, usage};
+use super::{args::SimArgs, usage_error};
 
 /// Runs seeds, pairs or a timeline, and tells what was found.
 pub fn sim(a: &SimArgs) {
     let ends = a.seeds.split_once("..").and_then(|(f, l)| Some((f.parse::<u64>().ok()?, l.parse::<u64>().ok()?)));
-    let Some((first, last)) = ends else { usage(format!("--seeds {:?}: FIRST..LAST", a.seeds)) };
+    let Some((first, last)) = ends else { usage_error(format!("--seeds {:?}: FIRST..LAST", a.seeds)) };
     let tricks = a.without.as_deref().map(|n| {
-        kit::sim::DisabledGuards::without(n).unwrap_or_else(|| usage(format!("--without {n:?}: no such guard")))
+        kit::sim::DisabledGuards::without(n).unwrap_or_else(|| usage_error(format!("--without {n:?}: no such guard")))
     });
     let tricks = tricks.unwrap_or_default();
     let mut whys: std::collections::BTreeMap<String, u64> = Default::default();
@@ -20,7 +20,7 @@
     }
     let known = |k: &str| {
         let found = kit::sim::KINDS.iter().find(|x| x.0 == k);
-        found.map(|x| x.0).unwrap_or_else(|| usage(format!("--only {k:?}: no such kind; see --kinds")))
+        found.map(|x| x.0).unwrap_or_else(|| usage_error(format!("--only {k:?}: no such kind; see --kinds")))
     };
     let draws: Vec<Draw> = match (&a.only, a.pairs) {
         (Some(k), _) => match k.split_once('+') {
@@ -31,7 +31,7 @@
             let part =
                 a.part.split_once('/').and_then(|(r, p)| Some((r.parse::<usize>().ok()?, p.parse::<usize>().ok()?)));
             let Some((rest, parts)) = part.filter(|p| p.1 > 0) else {
-                usage(format!("--part {:?}: REST/PARTS", a.part))
+                usage_error(format!("--part {:?}: REST/PARTS", a.part))
             };
             let names = kit::sim::KINDS.map(|k| k.0);
             let all = (0..names.len()).flat_map(|i| (i + 1..names.len()).map(move |j| (i, j)));
@@ -43,7 +43,7 @@
     let text = a
         .timeline
         .as_ref()
-        .map(|p| std::fs::read_to_string(p).unwrap_or_else(|e| usage(format!("{}: {e}", p.display()))));
+        .map(|p| std::fs::read_to_string(p).unwrap_or_else(|e| usage_error(format!("{}: {e}", p.display()))));
     for seed in first..=last {
         if let Some(t) = &text {
             let scene = kit::sim::play(seed, tricks, t);
--- a/kit/src/tool/soak.rs
+++ b/kit/src/tool/soak.rs
@@ -3,21 +3,21 @@
 use base::boot;
 use kit::soak::{self, Soak};
 
-use super::{args::SoakArgs, usage};
+use super::{args::SoakArgs, usage_error};
 
 /// The longest script, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
 
 fn script(args: &SoakArgs) -> Option<Vec<soak::Event>> {
     let path = args.script.as_ref()?;
-    let text = std::fs::read_to_string(path).unwrap_or_else(|e| usage(format!("{}: {e}", path.display())));
-    Some(soak::read(&text).unwrap_or_else(|e| usage(format!("{}: {e}", path.display()))))
+    let text = std::fs::read_to_string(path).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display())));
+    Some(soak::read(&text).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display()))))
 }
 
 /// Runs one soak and prints what it came to; ends with 1 where something was found, with 2 where it can't be run.
 pub async fn soak(args: &SoakArgs) {
     if args.seconds <= 0.0 || args.seconds > MAX_SECONDS || args.callers == 0 {
-        usage(format!("--callers above 0 and --seconds from 0 to {MAX_SECONDS} belong here"));
+        usage_error(format!("--callers above 0 and --seconds from 0 to {MAX_SECONDS} belong here"));
     }
     let own = std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
     let below = format!("portspoke-soak-{}", std::process::id());
