--- a/kit/src/check.rs
+++ b/kit/src/check.rs
@@ -13,8 +13,8 @@
 /// Maximum number of findings that are returned.
 const MAX_FINDINGS: usize = 40;
 
-/// Checks writes, reads and session values, and returns the findings. `logs` holds for each database the log of the server
-/// that is its primary at the end; `fresh` is the staleness bound of `bound` reads.
+/// Checks writes, reads and session values, and returns the findings. `logs` holds for each database the log of the
+/// server that is its primary at the end; `fresh` is the staleness bound of `bound` reads.
 pub fn history(events: &[Event], logs: &BTreeMap<&str, Vec<Entry>>, fresh: Duration) -> Vec<String> {
     let mut findings = Vec::new();
     for (db, log) in logs {
@@ -33,7 +33,8 @@
     findings
 }
 
-/// Acknowledged writes must be in the log exactly once and complete; refused, failed and abandoned ones must not be in it.
+/// Acknowledged writes must be in the log exactly once and complete; refused, failed and abandoned ones must not be in
+/// it.
 fn check_writes(db: &str, events: &[&Event], log: &[Entry], findings: &mut Vec<String>) {
     let mut logged: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in log.iter().filter(|entry| !(entry.send.is_empty() && entry.ops.is_empty())) {
--- a/kit/src/check_orders.rs
+++ b/kit/src/check_orders.rs
@@ -1,8 +1,9 @@
 //! Checks whether a history of configuration changes ("orders") and reads of the configuration is linearizable.
 //!
-//! Each order is based on a version and creates another, so the accepted orders form one chain. Every request bounds the
-//! time at which a version can have come into force: not before its order was first sent, and not after a response that
-//! depends on it. The history is linearizable if there are times within all these bounds that increase along the chain.
+//! Each order is based on a version and creates another, so the accepted orders form one chain. Every request bounds
+//! the time at which a version can have come into force: not before its order was first sent, and not after a response
+//! that depends on it. The history is linearizable if there are times within all these bounds that increase along the
+//! chain.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -67,8 +68,8 @@
     latest: Duration,
 }
 
-/// Returns a finding for everything that no sequence of events explains. `start` is the version in force at the beginning,
-/// with its mark.
+/// Returns a finding for everything that no sequence of events explains. `start` is the version in force at the
+/// beginning, with its mark.
 pub fn orders(history: &History, start: (u64, &str)) -> Vec<String> {
     let mut findings = Vec::new();
     let mut chain = build_chain(history, start, &mut findings);
--- a/kit/src/check_words.rs
+++ b/kit/src/check_words.rs
@@ -4,9 +4,9 @@
 
 use crate::load::{End, Event, Words};
 
-/// Checks the operators' history and returns at most 20 findings. `areas` gives the zone of each node; `late` is the time
-/// within which an acknowledged change must be in use at every node, `empty` the time within which an evacuated zone must
-/// stop serving.
+/// Checks the operators' history and returns at most 20 findings. `areas` gives the zone of each node; `late` is the
+/// time within which an acknowledged change must be in use at every node, `empty` the time within which an evacuated
+/// zone must stop serving.
 pub fn words(
     operator_history: &Words,
     events: &[Event],
--- a/kit/src/fleet/layout.rs
+++ b/kit/src/fleet/layout.rs
@@ -139,7 +139,7 @@
         self.spokes.iter().map(node).collect()
     }
 
-    /// Addresses that accept server reports, those in zone `area` first.
+    /// Addresses that accept server reports, those in `zone` first.
     pub fn reporters(&self, zone: &str) -> Vec<SocketAddr> {
         let mut processes: Vec<&Machine> = self.spokes.iter().chain(&self.hubs).collect();
         processes.sort_by_key(|process| process.area != zone);
--- a/kit/src/fleet/membership.rs
+++ b/kit/src/fleet/membership.rs
@@ -41,8 +41,8 @@
     response.ok_or(format!("{node} does not answer; read the configuration back before a retry"))
 }
 
-/// Like [`change_membership`], through random nodes, up to 60 times until the change is acknowledged or refused for good.
-/// Returns whether the change is in force.
+/// Like [`change_membership`], through random nodes, up to 60 times until the change is acknowledged or refused for
+/// good. Returns whether the change is in force.
 pub async fn member_somehow(env: &Env, nodes: &[SocketAddr], group: &str, server: &str, join: bool) -> bool {
     for _ in 0..60 {
         let index = env.rand_below(nodes.len() as u64) as usize;
--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -36,6 +36,7 @@
     pub rate: f64,
     /// How long requests are sent.
     pub span: Duration,
+    /// The actions, in order of time.
     pub steps: Vec<Step>,
     /// Folder for settings, data and logs.
     pub folder: PathBuf,
@@ -51,8 +52,8 @@
     Client::once(env, addr, method, path, &[], body, CALL_TIMEOUT).await.ok()
 }
 
-/// Waits until every node serves, holds a connection share of every server and a primary lease for every group; fails with
-/// the last obstacle after `most`.
+/// Waits until every node serves, holds a connection share of every server and a primary lease for every group; fails
+/// with the last obstacle after `timeout`.
 pub async fn ready(env: &Env, layout: &Layout, timeout: Duration) -> Result<(), String> {
     let deadline = env.now() + timeout;
     let mut reason = String::new();
@@ -86,8 +87,8 @@
     Ok(())
 }
 
-/// Sends the standard configuration to random nodes until it is accepted. Returns the response, which holds the sequence;
-/// fails with the last error after `most`.
+/// Sends the standard configuration to random nodes until it is accepted. Returns the response, which holds the
+/// sequence; fails with the last error after `timeout`.
 pub async fn configure(env: &Env, layout: &Layout, timeout: Duration) -> Result<String, String> {
     let configuration = load::configuration_json(&layout.groups(), layout.cap as u64);
     let deadline = env.now() + timeout;
@@ -127,8 +128,8 @@
     None
 }
 
-/// Runs a fleet under load with the faults of `run`, and checks the history. Fails if the processes cannot be started, or
-/// do not become ready within 40 s.
+/// Runs a fleet under load with the faults of `run`, and checks the history. Fails if the processes cannot be started,
+/// or do not become ready within 40 s.
 pub async fn run(env: &Env, run: &Run) -> Result<Report, String> {
     let layout = Layout::new(run.machines, run.cap, Layout::free_loopback_ports());
     let mut processes = FleetProcesses::start(run, &layout)?;
--- a/kit/src/fleet/processes.rs
+++ b/kit/src/fleet/processes.rs
@@ -27,8 +27,8 @@
 }
 
 impl FleetProcesses {
-    /// Writes the settings files and starts every process of a layout. Fails if a file cannot be written or a program not be
-    /// started.
+    /// Writes the settings files and starts every process of a layout. Fails if a file cannot be written or a program
+    /// not be started.
     pub fn start(run: &Run, layout: &Layout) -> Result<Self, String> {
         let mut fleet = Self { processes: BTreeMap::new(), folder: run.folder.clone(), bins: run.bins.clone() };
         fs::create_dir_all(&run.folder).map_err(|e| format!("{}: {e}", run.folder.display()))?;
--- a/kit/src/fleet/scale.rs
+++ b/kit/src/fleet/scale.rs
@@ -1,6 +1,6 @@
-//! A scale run: measures real control nodes and nodes together with many simulated nodes. The simulated nodes share this
-//! process and take part in the relay tree with real messages (joining, heartbeats, forwarding, snapshots, leaving and
-//! rejoining), but serve no clients.
+//! A scale run: measures real control nodes and nodes together with many simulated nodes. The simulated nodes share
+//! this process and take part in the relay tree with real messages (joining, heartbeats, forwarding, snapshots, leaving
+//! and rejoining), but serve no clients.
 
 use std::{
     cell::{Cell, RefCell},
@@ -76,7 +76,8 @@
     pub node_mb: f64,
     /// Bytes received on the loopback interface, per second.
     pub loopback_bytes_per_s: f64,
-    /// Time until every simulated node had an acknowledgement again after a tenth of them left and joined again at once.
+    /// Time until every simulated node had an acknowledgement again after a tenth of them left and joined again at
+    /// once.
     pub rejoined_ms: u64,
 }
 
@@ -239,8 +240,8 @@
     Ok(())
 }
 
-/// Measures all points one after the other, each with processes of its own, and calls `on_point` after each. Fails if the
-/// machine is too small or a point could not be measured.
+/// Measures all points one after the other, each with processes of its own, and calls `on_point` after each. Fails if
+/// the machine is too small or a point could not be measured.
 pub async fn run_scale(
     env: &Env,
     scale: &ScaleRun,
--- a/kit/src/lib.rs
+++ b/kit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Test tools: load generator, stand-in servers and platform, fleets of real processes, soak test, checkers of histories,
-//! simulation.
+//! Test tools: load generator, stand-in servers and platform, fleets of real processes, soak test, checkers of
+//! histories, simulation.
 
 pub mod check;
 pub mod check_orders;
--- a/kit/src/load/client_session.rs
+++ b/kit/src/load/client_session.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Sends requests until `stop` is set, at random times (Poisson arrivals) with a mean gap of `mean_gap_s` seconds. Each
-    /// request keeps its scheduled time even if the one before it took longer (open loop).
+    /// Sends requests until `stop` is set, at random times (Poisson arrivals) with a mean gap of `mean_gap_s` seconds.
+    /// Each request keeps its scheduled time even if the one before it took longer (open loop).
     pub async fn run(mut self, start: Duration, mean_gap_s: f64, stop: &Rc<Cell<bool>>) {
         let mut scheduled = start + Duration::from_secs_f64(mean_gap_s * self.random_fraction());
         loop {
--- a/kit/src/load/operator.rs
+++ b/kit/src/load/operator.rs
@@ -133,8 +133,8 @@
         self.words.faults.borrow_mut().push(text);
     }
 
-    /// Reads the configuration back from a random node. It must be at least as new as the newest change acknowledged before
-    /// the read, and as that change set it; otherwise records a finding.
+    /// Reads the configuration back from a random node. It must be at least as new as the newest change acknowledged
+    /// before the read, and as that change set it; otherwise records a finding.
     async fn read_back(&self) -> Option<ConfigurationView> {
         let start = self.env.now();
         let (status, body) = self.request(self.random_address(), "GET", "/ops/doorways", String::new()).await?;
@@ -283,9 +283,17 @@
                 4..=5 => self.race_changes(configuration.sequence).await,
                 6
                     // Based on an outdated version: it must be refused.
-                    if configuration.sequence > 0 && self.move_route(configuration.sequence - 1, &self.random_group(), self.random_address()).await => {
-                        self.record_fault(format!("a change based on {} was accepted at {}", configuration.sequence - 1, configuration.sequence));
-                    }
+                    if configuration.sequence > 0
+                        && self
+                            .move_route(configuration.sequence - 1, &self.random_group(), self.random_address())
+                            .await =>
+                {
+                    self.record_fault(format!(
+                        "a change based on {} was accepted at {}",
+                        configuration.sequence - 1,
+                        configuration.sequence
+                    ));
+                }
                 7..=8 => self.send_invalid().await,
                 _ if self.areas => self.evacuate_and_restore_zone().await,
                 _ => {}
--- a/kit/src/load/report.rs
+++ b/kit/src/load/report.rs
@@ -57,8 +57,8 @@
 }
 
 impl Report {
-    /// Summarizes a history. Latency counts from the time for which a request was scheduled, so it includes the time that
-    /// the request waited for its session.
+    /// Summarizes a history. Latency counts from the time for which a request was scheduled, so it includes the time
+    /// that the request waited for its session.
     pub fn new(events: &[Event], findings: Vec<String>) -> Self {
         let mut by_label: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
         for event in events {
--- a/kit/src/main.rs
+++ b/kit/src/main.rs
@@ -91,7 +91,7 @@
                 nodes,
                 groups: args.groups,
                 sessions: args.sessions,
-                point_duration: point_duration,
+                point_duration,
                 folder,
                 bins: program_folder,
             };
--- a/kit/src/server/follow.rs
+++ b/kit/src/server/follow.rs
@@ -36,8 +36,8 @@
             while self.primary_addr.get() == Some(addr) && !self.is_primary.get() && !self.stalled.get() {
                 let after = self.log.borrow().len() as u64;
                 let path = {
-                    // The last entry is identified by its epoch and attempt id as well: a primary that lost a part of its
-                    // log may have assigned the same index to another entry.
+                    // The last entry is identified by its epoch and attempt id as well: a primary that lost a part of
+                    // its log may have assigned the same index to another entry.
                     let log = self.log.borrow();
                     let (last_epoch, last_attempt_id) = log.last().map_or((0, ""), |e| (e.line, e.send.as_str()));
                     format!("/log?after={after}&of={last_epoch}&send={last_attempt_id}&line={}", self.epoch.get())
--- a/kit/src/server/mod.rs
+++ b/kit/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in database server with a replicated log. Each connection is a session; the server reports its state to nodes.
+//! A stand-in database server with a replicated log. Each connection is a session; the server reports its state to
+//! nodes.
 
 mod follow;
 mod report;
@@ -39,8 +40,8 @@
     pub warm: Duration,
     /// How long each statement takes.
     pub work: Duration,
-    /// For each evacuated zone and each server removed from its group: the time after which no work may arrive (maintained
-    /// by a checker).
+    /// For each evacuated zone and each server removed from its group: the time after which no work may arrive
+    /// (maintained by a checker).
     pub closed: Rc<RefCell<BTreeMap<String, Duration>>>,
     /// How long after a node acknowledged that the server drains work may still arrive.
     pub drain: Duration,
@@ -101,7 +102,8 @@
 }
 
 impl Server {
-    /// Starts a server from the contents of its data folder. Fails if the address cannot be bound or the data not be read.
+    /// Starts a server from the contents of its data folder. Fails if the address cannot be bound or the data not be
+    /// read.
     pub async fn start(env: &Env, setup: Setup) -> std::io::Result<Rc<Self>> {
         let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(setup.addr).await?)));
         let server = Rc::new(Self {
--- a/kit/src/server/report.rs
+++ b/kit/src/server/report.rs
@@ -8,7 +8,8 @@
 use super::Server;
 
 impl Server {
-    /// Sends a report to one node every 500 ms; after a failure, moves on to the next node. Runs until the server stops.
+    /// Sends a report to one node every 500 ms; after a failure, moves on to the next node. Runs until the server
+    /// stops.
     pub(super) async fn send_reports(self: Rc<Self>) -> Result<(), Infallible> {
         let nodes = self.setup.nodes.clone();
         let mut node_index = self.env.rand_below(nodes.len() as u64) as usize;
--- a/kit/src/server/serve.rs
+++ b/kit/src/server/serve.rs
@@ -225,7 +225,8 @@
         Some(response)
     }
 
-    /// Whether work that arrives now is too late: the zone was evacuated, the server removed or drained.
+    /// Whether work that arrives now is too late, since the zone was evacuated, the server removed from its group or
+    /// drained.
     fn is_past_work_deadline(&self) -> bool {
         let now = self.env.now();
         let closed = self.setup.closed.borrow();
--- a/kit/src/server/store.rs
+++ b/kit/src/server/store.rs
@@ -99,8 +99,8 @@
         self.state_changed.notify_waiters();
     }
 
-    /// Writes new entries and role changes to the data file in batches. Runs until the server stops; a failed write aborts
-    /// the process.
+    /// Writes new entries and role changes to the data file in batches. Runs until the server stops; a failed write
+    /// aborts the process.
     pub(super) async fn flush(self: Rc<Self>) -> Result<(), Infallible> {
         let mut written_role = (self.is_primary.get(), self.epoch.get(), self.file_offset.get() > 0);
         loop {
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! The soak test on real processes: clients use their open connections until the process is gone, while signals, restarts
-//! and configuration changes come in overlapping series. docs/soak.md describes how to run it and how to read its report.
+//! The soak test on real processes: clients use their open connections until the process is gone, while signals,
+//! restarts and configuration changes come in overlapping series. docs/soak.md describes how to run it and how to read
+//! its report.
 
 mod operator;
 mod processes;
@@ -44,7 +45,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval of the progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a node may take until it serves.
+/// How long one node may take until it serves.
 const START_TIMEOUT: Duration = Duration::from_secs(40);
 /// How long the run continues after the script without further actions.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
@@ -111,7 +112,7 @@
         text += &format!("findings: {}\n", self.verdict.findings.len());
         self.verdict.findings.iter().for_each(|finding| text += &format!("  {finding}\n"));
         if self.interrupted {
-            text += "interrupted: the rest of the script was not run\n";
+            text += "interrupted: the rest of the script was not run or checked\n";
         }
         text
     }
@@ -354,8 +355,9 @@
     }
 }
 
-/// Runs a soak test to its end, or until this process gets a signal to end; all its processes are ended. Calls `progress`
-/// with a line of text every five seconds. Fails if the processes cannot be started, or do not serve within the start timeout.
+/// Runs a soak test to its end, or until this process gets a signal to end; all its processes are ended. Calls
+/// `progress` with a line of text every five seconds. Fails if the processes cannot be started, or do not serve within
+/// the start timeout.
 pub async fn run(env: &Env, soak: &Soak, progress: impl Fn(String)) -> Result<Report, String> {
     check_can_run(soak)?;
     let mut fleet = Fleet::new(env, soak)?;
@@ -398,7 +400,7 @@
     let (reader, worker) = (operator(&orders), operator(&orders));
     guards.push(env.spawn(worker.run(task_queue)));
 
-    let interrupted = play(&mut fleet, soak, &script, start, end, &task_sender, &clients, &progress).await?;
+    let interrupted = run_script(&mut fleet, soak, &script, start, end, &task_sender, &clients, &progress).await?;
     // Statements that still wait for an answer get the time for it.
     fleet.resume_all();
     if !interrupted {
@@ -422,7 +424,7 @@
 
 /// Runs the script until `end`; returns whether it was interrupted.
 #[allow(clippy::too_many_arguments, reason = "the parts of one run, used here only")]
-async fn play(
+async fn run_script(
     fleet: &mut Fleet,
     soak: &Soak,
     script: &[Event],
--- a/kit/src/soak/operator.rs
+++ b/kit/src/soak/operator.rs
@@ -1,5 +1,5 @@
-//! The operator of a soak test: sends configurations one after the other or in concurrent pairs, and checks the version that
-//! is read back.
+//! The operator of a soak test: sends configurations one after the other or in concurrent pairs, and checks the version
+//! that is read back.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -119,7 +119,8 @@
         OrderOutcome::Unknown
     }
 
-    /// Reads the version in force, with retries for 15 s. A version older than the latest acknowledged one is a finding.
+    /// Reads the version in force, with retries for 15 s. A version older than the latest acknowledged one is a
+    /// finding.
     pub async fn read_newest(&self) -> Option<u64> {
         let acknowledged = self.orders.newest_acknowledged.get();
         let deadline = self.env.now() + RETRY_TIMEOUT;
--- a/kit/src/soak/verdict.rs
+++ b/kit/src/soak/verdict.rs
@@ -1,5 +1,5 @@
-//! The checks of a soak test: statements without an answer, and processes that end unexpectedly, exceed their time to end or
-//! use too much memory.
+//! The checks of a soak test: statements without an answer, and processes that end unexpectedly, exceed their time to
+//! end or use too much memory.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/kit/src/tool/args.rs
+++ b/kit/src/tool/args.rs
@@ -27,8 +27,8 @@
 }
 
 #[derive(FromArgs)]
-/// run overlapping series of signals, restarts and configuration changes on real processes, under clients that keep their
-/// connections
+/// run overlapping series of signals, restarts and configuration changes on real processes, under clients that keep
+/// their connections
 #[argh(subcommand, name = "soak")]
 pub struct SoakArgs {
     /// seed of the script and the clients (1)
@@ -167,11 +167,11 @@
     /// duration of the load in seconds (20)
     #[argh(option, default = "20.0")]
     pub seconds: f64,
-    /// an action as SECONDS:WHAT[=NAME]; repeat for each. WHAT is leader (kill the primary of group NAME), chief (kill the
-    /// leading control node), kill, area (kill all processes of a zone), start, restart, stop (suspend), thaw (resume), wipe
-    /// (kill and remove the data), empty (evacuate a zone), take-back (end the evacuation), drain, mute (execute without
-    /// answering), join, quit, settings (change the file and send SIGHUP), garble (truncate the file and send SIGHUP) or
-    /// revive (resume and start everything)
+    /// an action as SECONDS:WHAT[=NAME]; repeat for each. WHAT is leader (kill the primary of group NAME), chief (kill
+    /// the leading control node), kill, area (kill all processes of a zone), start, restart, stop (suspend), thaw
+    /// (resume), wipe (kill and remove the data), empty (evacuate a zone), take-back (end the evacuation), drain, mute
+    /// (execute without answering), join, quit, settings (change the file and send SIGHUP), garble (truncate the file
+    /// and send SIGHUP) or revive (resume and start everything)
     #[argh(option)]
     pub at: Vec<String>,
     /// folder for settings, data and logs (a new one below the system's temporary folder)
--- a/kit/src/tool/ops.rs
+++ b/kit/src/tool/ops.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Sends an operator request to a node and prints the response. Exits with status 1 if the request was refused, with 2 if
-/// the node did not answer.
+/// Sends an operator request to a node and prints the response. Exits with status 1 if the request was refused, with 2
+/// if the node did not answer.
 pub async fn ops(args: &OpsArgs) {
     let print_response = |response: base::http::HttpResponse| {
         println!("{}", String::from_utf8_lossy(&response.body));
--- a/kit/src/tool/sim.rs
+++ b/kit/src/tool/sim.rs
@@ -106,8 +106,8 @@
     }
     reasons.iter().for_each(|(reason, count)| println!("not successful: {count} x {reason}"));
     println!(
-        "{runs} runs, {runs_with_findings} with findings; successful {:.2} % during faults, {:.2} % after; recovered in \
-         {max_recovery_s} s at most",
+        "{runs} runs, {runs_with_findings} with findings; successful {:.2} % during faults, {:.2} % after; recovered \
+         in {max_recovery_s} s at most",
         share_during / runs * 100.0,
         share_after / runs * 100.0
     );
--- a/kit/src/tool/soak.rs
+++ b/kit/src/tool/soak.rs
@@ -16,7 +16,8 @@
     Some(soak::read(&text).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display()))))
 }
 
-/// Runs one soak test and prints its report. Exits with status 1 if there are findings, with 2 if the test cannot be run.
+/// Runs one soak test and prints its report. Exits with status 1 if there are findings, with 2 if the test cannot be
+/// run.
 pub async fn soak(args: &SoakArgs) {
     if args.seconds <= 0.0 || args.seconds > MAX_SECONDS || args.callers == 0 {
         usage_error(format!("--callers must be above 0, and --seconds above 0 and at most {MAX_SECONDS}"));
