--- a/kit/src/server/serve.rs
+++ b/kit/src/server/serve.rs
@@ -18,6 +18,12 @@
 
 use super::{Entry, Op, Server, follow::Batch};
 
+/// Added to the time of a response that a fault delays.
+const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(4300);
+
+/// Number of statements that may run at once at the start of the warm-up.
+const MIN_RUNNING_STATEMENTS: usize = 12;
+
 strict! {
     /// A statement in the stand-in's own language.
     pub struct Statement {
@@ -198,7 +204,7 @@
         path: &str,
         request: &HttpRequest,
     ) -> Option<HttpResponse> {
-        let max_running = (self.setup.cap as f64 * (1.0 - self.coldness())).ceil() as usize + 12;
+        let max_running = (self.setup.cap as f64 * (1.0 - self.coldness())).ceil() as usize + MIN_RUNNING_STATEMENTS;
         {
             let mut stats = self.stats.borrow_mut();
             stats.statements += 1;
@@ -216,7 +222,7 @@
         drop(running_guard);
         if self.late.get() > 0 && path != backend::RESET_PATH {
             self.late.set(self.late.get() - 1);
-            self.env.sleep(Duration::from_millis(4300)).await;
+            self.env.sleep(LATE_RESPONSE_DELAY).await;
         }
         if self.mute.get() > 0 && path != backend::RESET_PATH {
             self.mute.set(self.mute.get() - 1);
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -37,6 +37,15 @@
 /// A soak test listens on this port at the first address of its network while it runs, which reserves the network.
 const RESERVED_PORT: u16 = 8781;
 
+/// Port of the control nodes' operator endpoint.
+const CONTROL_PORT: u16 = 8782;
+/// Port of the stand-in platform.
+const PLATFORM_PORT: u16 = 8783;
+/// Port of the nodes' client endpoint.
+const ACCESS_PORT: u16 = 8784;
+/// Port of the stand-in servers.
+const SERVER_PORT: u16 = 9000;
+
 /// Maximum number of processes that a soak test starts.
 pub const MAX_PROCESSES: usize = 300;
 /// Memory that a process is assumed to need, for the check before the start.
@@ -124,7 +133,7 @@
     processes: Vec<Process>,
     access_points: Vec<SocketAddr>,
     control_points: Vec<SocketAddr>,
-    bank: Rc<Bank>,
+    store: Rc<Bank>,
     servers: Vec<String>,
     plans: Vec<Plan>,
     _network: Network,
@@ -145,6 +154,7 @@
 const SECOND_OCTETS: std::ops::Range<u32> = 20..220;
 
 impl Network {
+    /// Reserves the first free network. Fails if all are taken.
     fn reserve() -> Result<Self, String> {
         let first = std::process::id() % SECOND_OCTETS.len() as u32;
         for number in SECOND_OCTETS.map(|n| SECOND_OCTETS.start + (n + first) % SECOND_OCTETS.len() as u32) {
@@ -159,11 +169,13 @@
         ))
     }
 
+    /// The address of the machine with this index.
     fn ip(&self, index: usize) -> String {
         format!("127.{}.{}.{}", self.second_octet, 1 + index / 200, 1 + index % 200)
     }
 }
 
+/// Fails if the number of processes is out of range, memory may not suffice, or the programs are not built.
 fn check_can_run(soak: &Soak) -> Result<(), String> {
     if soak.processes < 2 * CONTROL_NODES || soak.processes > MAX_PROCESSES {
         return Err(format!(
@@ -172,13 +184,13 @@
             2 * CONTROL_NODES
         ));
     }
-    let info = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let total: Option<u64> =
-        info.lines().find_map(|line| line.strip_prefix("MemTotal:")?.split_whitespace().next()?.parse().ok());
-    let needed = soak.processes as u64 * PROCESS_MEMORY_KB;
-    if total.is_some_and(|total| needed > total / 2) {
+    let meminfo = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
+    let total_kb: Option<u64> =
+        meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:")?.split_whitespace().next()?.parse().ok());
+    let needed_kb = soak.processes as u64 * PROCESS_MEMORY_KB;
+    if total_kb.is_some_and(|total_kb| needed_kb > total_kb / 2) {
         return Err(format!(
-            "{} processes may need {needed} KB, more than half of this machine's memory",
+            "{} processes may need {needed_kb} KB, more than half of this machine's memory",
             soak.processes
         ));
     }
@@ -195,20 +207,22 @@
         let nodes = soak.processes - CONTROL_NODES;
         let network = Network::reserve()?;
         let machines: Vec<String> = (0..nodes).map(|index| network.ip(index)).collect();
-        let platform = address(&network.ip(nodes), 8783);
+        let platform = address(&network.ip(nodes), PLATFORM_PORT);
         let seeds: Vec<String> = machines[..CONTROL_NODES].to_vec();
-        let text = |index: usize, disk: bool| {
+        let settings_text = |index: usize, disk: bool| {
             let zone = ZONES[index % ZONES.len()];
             settings(&format!("m{index}"), &machines[index], zone, &seeds, platform, disk)
                 + "[resilience]\nmachine_losses = 1\n[zones]\nnorth = \"all\"\nmid = \"all\"\nsouth = \"all\"\n"
         };
-        let launch =
+        let launch_config =
             |program: &str, name: String, settings| Launch { name, program: soak.bins.join(program), settings };
-        let hubs = (0..CONTROL_NODES).map(|index| launch("hub", format!("m{index}-hub"), text(index, true)));
-        let spokes = (0..nodes).map(|index| launch("spoke", format!("m{index}-spoke"), text(index, false)));
+        let control_node_processes =
+            (0..CONTROL_NODES).map(|index| launch_config("hub", format!("m{index}-hub"), settings_text(index, true)));
+        let node_processes =
+            (0..nodes).map(|index| launch_config("spoke", format!("m{index}-spoke"), settings_text(index, false)));
         let processes: Result<Vec<Process>, _> =
-            hubs.chain(spokes).map(|launch_config| Process::new(launch_config, &soak.folder)).collect();
-        let control: Vec<SocketAddr> = seeds.iter().map(|ip| address(ip, 8782)).collect();
+            control_node_processes.chain(node_processes).map(|launch| Process::new(launch, &soak.folder)).collect();
+        let control_points: Vec<SocketAddr> = seeds.iter().map(|ip| address(ip, CONTROL_PORT)).collect();
 
         let groups: Vec<(String, Vec<String>)> = (0..GROUPS)
             .map(|group_index| {
@@ -218,8 +232,8 @@
                 )
             })
             .collect();
-        let bank = Bank::new(&groups);
-        let mut jobs = vec![env.spawn(duty(env.clone(), bank.clone(), platform, Duration::from_millis(300)))];
+        let store = Bank::new(&groups);
+        let mut tasks = vec![env.spawn(duty(env.clone(), store.clone(), platform, Duration::from_millis(300)))];
         let mut servers = Vec::new();
         for (group_index, (group, names)) in groups.iter().enumerate() {
             for (index, name) in names.iter().enumerate() {
@@ -227,22 +241,22 @@
                     name: name.clone(),
                     group: group.clone(),
                     area: ZONES[(group_index + index) % ZONES.len()].into(),
-                    addr: address(&network.ip(nodes + 1 + servers.len()), 9000),
-                    nodes: control.clone(),
+                    addr: address(&network.ip(nodes + 1 + servers.len()), SERVER_PORT),
+                    nodes: control_points.clone(),
                     cap: 200,
                     work: Duration::from_millis(3),
                     lag: Duration::from_millis(10),
                 };
-                jobs.push(env.spawn(serve(env.clone(), bank.clone(), setup)));
+                tasks.push(env.spawn(serve(env.clone(), store.clone(), setup)));
                 servers.push(name.clone());
             }
         }
-        let access: Vec<SocketAddr> = machines.iter().map(|ip| address(ip, 8784)).collect();
+        let access_points: Vec<SocketAddr> = machines.iter().map(|ip| address(ip, ACCESS_PORT)).collect();
         let plan = |group: &(String, Vec<String>)| Plan {
             name: format!("db-{}", group.0),
             group: group.0.clone(),
             stale: None,
-            nodes: access.clone(),
+            nodes: access_points.clone(),
             pause: Duration::from_millis(100),
             until: Duration::MAX,
         };
@@ -251,13 +265,13 @@
         Ok(Self {
             env: env.clone(),
             processes,
-            access_points: access,
-            control_points: control,
-            bank,
+            access_points,
+            control_points,
+            store,
             servers,
             plans,
             _network: network,
-            _tasks: jobs,
+            _tasks: tasks,
         })
     }
 
@@ -278,6 +292,7 @@
         Ok(())
     }
 
+    /// Carries out one action; configuration changes are queued for the operator.
     fn apply(&mut self, action: Action, operator: &mpsc::UnboundedSender<Task>) {
         let now = self.env.now();
         let mut signal = |process: usize, fact| {
@@ -294,10 +309,12 @@
             Action::AddRoutes(count) => drop(operator.unbounded_send(Task::AddRoutes(count))),
             Action::ConcurrentPair => drop(operator.unbounded_send(Task::ConcurrentPair)),
             Action::Drain(server) => drop(
-                self.servers.get(server).map(|name| self.bank.copy(name, |server_state| server_state.draining = true)),
+                self.servers.get(server).map(|name| self.store.copy(name, |server_state| server_state.draining = true)),
             ),
             Action::EndDrain(server) => drop(
-                self.servers.get(server).map(|name| self.bank.copy(name, |server_state| server_state.draining = false)),
+                self.servers
+                    .get(server)
+                    .map(|name| self.store.copy(name, |server_state| server_state.draining = false)),
             ),
         }
     }
@@ -308,6 +325,7 @@
         self.processes.iter_mut().for_each(|process| process.signal(now, Fact::Cont));
     }
 
+    /// The histories of all processes, those of the control nodes first.
     fn histories(&mut self) -> Vec<History> {
         self.processes.iter_mut().for_each(Process::note_memory);
         let history = |p: &Process| History { name: p.name().into(), facts: p.facts.clone(), peak_kb: p.peak_kb };
@@ -333,7 +351,7 @@
 
 impl BusyProcesses {
     fn start(soak: &Soak) -> Result<Self, String> {
-        let one = |_| {
+        let spawn_process = |_| {
             std::process::Command::new(soak.bins.join("kit"))
                 .args(["sim", "--seeds", "1..100000"])
                 .stdin(std::process::Stdio::null())
@@ -342,7 +360,7 @@
                 .spawn()
                 .map_err(|e| format!("cannot start a process that uses processor time: {e}"))
         };
-        (0..soak.busy).map(one).collect::<Result<Vec<_>, _>>().map(Self)
+        (0..soak.busy).map(spawn_process).collect::<Result<Vec<_>, _>>().map(Self)
     }
 }
 
@@ -410,7 +428,7 @@
     let mut histories = fleet.histories();
     let nodes = histories.split_off(CONTROL_NODES);
     let mut verdict = judge(&clients.statements.borrow(), &nodes, &histories, RULES, env.now());
-    verdict.findings.extend(ledger.findings(&fleet.bank));
+    verdict.findings.extend(ledger.findings(&fleet.store));
     verdict.findings.extend(orders.findings.borrow().iter().cloned());
     if final_version.is_none() {
         verdict.findings.push("the configuration cannot be read back at the end".into());
