--- a/kit/src/check.rs
+++ b/kit/src/check.rs
@@ -33,8 +33,8 @@
     findings
 }
 
-/// Acknowledged writes must be in the log exactly once and complete; refused, failed and abandoned ones must not be in
-/// it.
+/// Every entry of the log must be a requested write, complete and logged once. Acknowledged writes must be in the log;
+/// refused, failed and abandoned ones must not.
 fn check_writes(db: &str, events: &[&Event], log: &[Entry], findings: &mut Vec<String>) {
     let mut logged: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in log.iter().filter(|entry| !(entry.send.is_empty() && entry.ops.is_empty())) {
--- a/kit/src/tool/args.rs
+++ b/kit/src/tool/args.rs
@@ -49,7 +49,7 @@
     /// run this script, as an earlier run printed it
     #[argh(option)]
     pub script: Option<PathBuf>,
-    /// print the script first
+    /// print the script before the report
     #[argh(switch)]
     pub print: bool,
     /// folder for settings, data and logs (a new one below the system's temporary folder)
@@ -218,9 +218,9 @@
 }
 
 #[derive(FromArgs)]
-/// send an operator request to a node: set FILE, change FILE, read, empty ZONE, take-back ZONE, hand-over SERVER,
-/// join GROUP/SERVER, leave SERVER,
-/// members, servers, leads, grants; and about the node itself: status, lists, decisions NAME, journal, metrics
+/// send an operator request to a node: set FILE, change FILE, read, empty ZONE, take-back ZONE, hand-over SERVER, join
+/// GROUP/SERVER, leave SERVER, members, servers, leads, grants; and about the node itself: status, lists, decisions NAME,
+/// journal, metrics
 #[argh(subcommand, name = "ops")]
 pub struct OpsArgs {
     /// HTTP address of any node
