--- a/kit/src/tool/mod.rs
+++ b/kit/src/tool/mod.rs
@@ -10,8 +10,8 @@
 pub use sim::sim;
 pub use soak::soak;
 
-/// Tells what is wrong with the arguments, and ends.
-pub fn usage(text: String) -> ! {
+/// Prints what is wrong with the arguments and exits with status 64.
+pub fn usage_error(text: String) -> ! {
     eprintln!("{text}");
     std::process::exit(64)
 }
