--- a/kit/src/sim/core.rs
+++ b/kit/src/sim/core.rs
@@ -15,7 +15,7 @@
     runtime::{Component, Env},
 };
 
-use super::{disk::Files, net::Net, world::Place};
+use super::{disk::DiskFiles, net::Network, runtime::HostRuntime};
 
 type Task = Pin<Box<dyn Future<Output = ()>>>;
 
@@ -28,44 +28,44 @@
     pub text: String,
 }
 
-struct Call {
+struct TaskWaker {
     id: u64,
-    send: mpsc::Sender<u64>,
+    wake_sender: mpsc::Sender<u64>,
 }
 
-impl Wake for Call {
+impl Wake for TaskWaker {
     fn wake(self: Arc<Self>) {
-        let _ = self.send.send(self.id);
+        let _ = self.wake_sender.send(self.id);
     }
 }
 
 /// What a simulated process stands on.
 pub(super) struct Host {
     pub name: String,
-    pub area: String,
-    pub boot: u64,
+    pub zone: String,
+    pub boot_id: u64,
     pub up: bool,
     pub frozen: bool,
     /// How fast its clock runs, in millionths.
-    pub rate: u64,
+    pub clock_rate_ppm: u64,
     /// The world's time and its own when the rate was set.
-    pub base: (Duration, Duration),
-    pub files: Rc<Files>,
+    pub clock_base: (Duration, Duration),
+    pub files: Rc<DiskFiles>,
 }
 
 impl Host {
     /// What its clock shows at a time of the world; it never jumps.
-    pub fn local(&self, now: Duration) -> Duration {
-        self.base.1 + scale(now - self.base.0, self.rate, 1_000_000)
+    pub fn local_time(&self, now: Duration) -> Duration {
+        self.clock_base.1 + scale_duration(now - self.clock_base.0, self.clock_rate_ppm, 1_000_000)
     }
 }
 
 /// A span by a ratio.
-pub(super) fn scale(span: Duration, by: u64, of: u64) -> Duration {
+pub(super) fn scale_duration(span: Duration, by: u64, of: u64) -> Duration {
     Duration::from_nanos((span.as_nanos() * u128::from(by) / u128::from(of)).min(u128::from(u64::MAX)) as u64)
 }
 
-struct Cell0 {
+struct SimTask {
     host: usize,
     boot: u64,
     task: Option<Task>,
@@ -73,15 +73,15 @@
     queued: bool,
 }
 
-type Act = Box<dyn FnOnce(&Rc<Sim>)>;
+type Action = Box<dyn FnOnce(&Rc<Sim>)>;
 
 /// What happens at a time.
-pub(super) enum Due {
+pub(super) enum TimerEvent {
     Wake(Waker),
-    Act(Act),
+    Action(Action),
 }
 
-struct Timer(Duration, u64, Due);
+struct Timer(Duration, u64, TimerEvent);
 
 impl PartialEq for Timer {
     fn eq(&self, o: &Self) -> bool {
@@ -103,17 +103,17 @@
 /// A simulated world of many processes.
 pub struct Sim {
     clock: Cell<Duration>,
-    seed: Cell<u64>,
-    tasks: RefCell<BTreeMap<u64, Cell0>>,
+    rng_state: Cell<u64>,
+    tasks: RefCell<BTreeMap<u64, SimTask>>,
     ready: RefCell<Vec<u64>>,
-    parked: RefCell<BTreeSet<u64>>,
+    frozen_tasks: RefCell<BTreeSet<u64>>,
     timers: RefCell<BinaryHeap<Reverse<Timer>>>,
-    count: Cell<u64>,
+    last_id: Cell<u64>,
     send: mpsc::Sender<u64>,
-    recv: mpsc::Receiver<u64>,
+    wake_receiver: mpsc::Receiver<u64>,
     pub(super) hosts: RefCell<Vec<Host>>,
-    pub(super) net: Net,
-    pub(super) lines: RefCell<Vec<Line>>,
+    pub(super) net: Network,
+    pub(super) log_lines: RefCell<Vec<Line>>,
     /// Every poll folded into one number: two runs of a seed must give the same.
     trace: Cell<u64>,
     polls: Cell<u64>,
@@ -125,17 +125,17 @@
         let (send, recv) = mpsc::channel();
         Rc::new(Self {
             clock: Cell::new(Duration::from_secs(1)),
-            seed: Cell::new(seed.wrapping_mul(0x9e37_79b9).wrapping_add(17)),
+            rng_state: Cell::new(seed.wrapping_mul(0x9e37_79b9).wrapping_add(17)),
             tasks: RefCell::default(),
             ready: RefCell::default(),
-            parked: RefCell::default(),
+            frozen_tasks: RefCell::default(),
             timers: RefCell::default(),
-            count: Cell::new(0),
+            last_id: Cell::new(0),
             send,
-            recv,
+            wake_receiver: recv,
             hosts: RefCell::default(),
-            net: Net::default(),
-            lines: RefCell::default(),
+            net: Network::default(),
+            log_lines: RefCell::default(),
             trace: Cell::new(0),
             polls: Cell::new(0),
         })
@@ -148,11 +148,11 @@
 
     /// A random number from the seed.
     pub fn rand(&self) -> u64 {
-        next_random(&self.seed)
+        next_random(&self.rng_state)
     }
 
     /// A random number below `top`.
-    pub fn below(&self, top: u64) -> u64 {
+    pub fn rand_below(&self, top: u64) -> u64 {
         self.rand() % top.max(1)
     }
 
@@ -162,8 +162,8 @@
     }
 
     /// Writes to the network and bytes so far, by what the hosts at both ends are.
-    pub fn sent(&self) -> BTreeMap<(String, String), (u64, u64)> {
-        self.net.sent.borrow().clone()
+    pub fn write_totals(&self) -> BTreeMap<(String, String), (u64, u64)> {
+        self.net.write_totals.borrow().clone()
     }
 
     /// Adds a process's host; it is up, with an empty disk if it has one.
@@ -171,12 +171,12 @@
         let mut all = self.hosts.borrow_mut();
         all.push(Host {
             name: name.into(),
-            area: area.into(),
-            boot: 1,
+            zone: area.into(),
+            boot_id: 1,
             up: true,
             frozen: false,
-            rate: 1_000_000,
-            base: Default::default(),
+            clock_rate_ppm: 1_000_000,
+            clock_base: Default::default(),
             files: Rc::default(),
         });
         all.len() - 1
@@ -184,40 +184,40 @@
 
     /// The environment of a host's present run.
     pub fn env(self: &Rc<Self>, host: usize) -> Env {
-        let boot = self.hosts.borrow()[host].boot;
-        Env::new(Rc::new(Place { sim: self.clone(), host, boot }))
+        let boot = self.hosts.borrow()[host].boot_id;
+        Env::new(Rc::new(HostRuntime { sim: self.clone(), host, boot_id: boot }))
     }
 
     pub(super) fn spawn(&self, host: usize, boot: u64, task: Task) {
         {
             let hosts = self.hosts.borrow();
-            if !hosts[host].up || hosts[host].boot != boot {
+            if !hosts[host].up || hosts[host].boot_id != boot {
                 return;
             }
         }
-        let id = self.next();
-        let waker = Waker::from(Arc::new(Call { id, send: self.send.clone() }));
-        self.tasks.borrow_mut().insert(id, Cell0 { host, boot, task: Some(task), waker, queued: true });
+        let id = self.next_id();
+        let waker = Waker::from(Arc::new(TaskWaker { id, wake_sender: self.send.clone() }));
+        self.tasks.borrow_mut().insert(id, SimTask { host, boot, task: Some(task), waker, queued: true });
         self.ready.borrow_mut().push(id);
     }
 
-    fn next(&self) -> u64 {
-        self.count.set(self.count.get() + 1);
-        self.count.get()
+    fn next_id(&self) -> u64 {
+        self.last_id.set(self.last_id.get() + 1);
+        self.last_id.get()
     }
 
-    pub(super) fn at(&self, when: Duration, due: Due) {
-        let id = self.next();
+    pub(super) fn schedule(&self, when: Duration, due: TimerEvent) {
+        let id = self.next_id();
         self.timers.borrow_mut().push(Reverse(Timer(when.max(self.now()), id, due)));
     }
 
     /// Does something at a later time.
-    pub fn later(&self, span: Duration, act: impl FnOnce(&Rc<Sim>) + 'static) {
-        self.at(self.now() + span, Due::Act(Box::new(act)));
+    pub fn schedule_action(&self, span: Duration, act: impl FnOnce(&Rc<Sim>) + 'static) {
+        self.schedule(self.now() + span, TimerEvent::Action(Box::new(act)));
     }
 
-    fn drain(&self) {
-        while let Ok(id) = self.recv.try_recv() {
+    fn enqueue_woken_tasks(&self) {
+        while let Ok(id) = self.wake_receiver.try_recv() {
             if let Some(t) = self.tasks.borrow_mut().get_mut(&id)
                 && !t.queued
             {
@@ -227,14 +227,14 @@
         }
     }
 
-    fn poll(&self, id: u64) {
+    fn poll_task(&self, id: u64) {
         let (mut task, waker, host) = {
             let mut tasks = self.tasks.borrow_mut();
             let Some(t) = tasks.get_mut(&id) else { return };
             let hosts = self.hosts.borrow();
             let h = &hosts[t.host];
-            if h.frozen && h.up && h.boot == t.boot {
-                self.parked.borrow_mut().insert(id);
+            if h.frozen && h.up && h.boot_id == t.boot {
+                self.frozen_tasks.borrow_mut().insert(id);
                 return;
             }
             t.queued = false;
@@ -261,14 +261,14 @@
     /// Runs until a time, or until `stop` says so.
     pub fn run(self: &Rc<Self>, until: Duration, stop: &dyn Fn() -> bool) {
         loop {
-            self.drain();
+            self.enqueue_woken_tasks();
             let next = {
                 let mut ready = self.ready.borrow_mut();
                 let n = ready.len() as u64;
-                if n == 0 { None } else { Some(ready.swap_remove(self.below(n) as usize)) }
+                if n == 0 { None } else { Some(ready.swap_remove(self.rand_below(n) as usize)) }
             };
             if let Some(id) = next {
-                self.poll(id);
+                self.poll_task(id);
                 continue;
             }
             if stop() {
@@ -280,8 +280,8 @@
                     let Some(Reverse(Timer(at, _, due))) = self.timers.borrow_mut().pop() else { continue };
                     self.clock.set(self.clock.get().max(at));
                     match due {
-                        Due::Wake(w) => w.wake(),
-                        Due::Act(f) => f(self),
+                        TimerEvent::Wake(w) => w.wake(),
+                        TimerEvent::Action(f) => f(self),
                     }
                 }
                 _ => {
@@ -307,25 +307,25 @@
             }
             h.up = false;
             h.frozen = false;
-            h.boot += 1;
-            h.boot - 1
+            h.boot_id += 1;
+            h.boot_id - 1
         };
-        self.net.down(self, host, silent);
-        let gone: Vec<Cell0> = {
+        self.net.host_down(self, host, silent);
+        let gone: Vec<SimTask> = {
             let mut tasks = self.tasks.borrow_mut();
             let ids: Vec<u64> =
                 tasks.iter().filter(|(_, t)| t.host == host && t.boot == boot).map(|(i, _)| *i).collect();
             ids.iter().filter_map(|i| tasks.remove(i)).collect()
         };
         drop(gone);
-        self.note(host, "is down");
+        self.log_for_host(host, "is down");
     }
 
     /// Lets a process be started again; gives its new environment.
     pub fn boot(self: &Rc<Self>, host: usize) -> Env {
         self.hosts.borrow_mut()[host].up = true;
-        self.net.up(self, host);
-        self.note(host, "is up");
+        self.net.host_up(self, host);
+        self.log_for_host(host, "is up");
         self.env(host)
     }
 
@@ -337,7 +337,7 @@
     /// Stops a process's tasks where they are.
     pub fn freeze(&self, host: usize) {
         self.hosts.borrow_mut()[host].frozen = true;
-        self.note(host, "froze");
+        self.log_for_host(host, "froze");
     }
 
     /// Lets them go on.
@@ -345,37 +345,37 @@
         if !std::mem::replace(&mut self.hosts.borrow_mut()[host].frozen, false) {
             return;
         }
-        self.note(host, "thawed");
-        let all = std::mem::take(&mut *self.parked.borrow_mut());
+        self.log_for_host(host, "thawed");
+        let all = std::mem::take(&mut *self.frozen_tasks.borrow_mut());
         self.ready.borrow_mut().extend(all);
     }
 
     /// Sets how fast a host's clock runs, in millionths.
-    pub fn drift(&self, host: usize, rate: u64) {
+    pub fn set_clock_rate(&self, host: usize, rate: u64) {
         let now = self.now();
         let h = &mut self.hosts.borrow_mut()[host];
-        h.base = (now, h.local(now));
-        h.rate = rate;
+        h.clock_base = (now, h.local_time(now));
+        h.clock_rate_ppm = rate;
     }
 
     /// The disk of a host.
-    pub(super) fn files(&self, host: usize) -> Rc<Files> {
+    pub(super) fn files(&self, host: usize) -> Rc<DiskFiles> {
         self.hosts.borrow()[host].files.clone()
     }
 
-    pub(super) fn note(&self, host: usize, text: &str) {
+    pub(super) fn log_for_host(&self, host: usize, text: &str) {
         let who = self.hosts.borrow()[host].name.clone();
-        self.lines.borrow_mut().push(Line { at: self.now(), who, part: Component::Kit, text: text.into() });
+        self.log_lines.borrow_mut().push(Line { at: self.now(), who, part: Component::Kit, text: text.into() });
     }
 
     /// Adds a line of the simulation's own.
-    pub fn say(&self, text: &str) {
-        self.lines.borrow_mut().push(Line { at: self.now(), who: "-".into(), part: Component::Kit, text: text.into() });
+    pub fn log_event(&self, text: &str) {
+        self.log_lines.borrow_mut().push(Line { at: self.now(), who: "-".into(), part: Component::Kit, text: text.into() });
     }
 
     /// All log lines so far.
     pub fn log(&self) -> Vec<Line> {
-        self.lines.borrow().clone()
+        self.log_lines.borrow().clone()
     }
 }
 
--- a/kit/src/sim/town/desk.rs
+++ b/kit/src/sim/deployment/client_host.rs
@@ -15,12 +15,12 @@
     /// Starts a task at the desk; it goes on by itself.
     pub fn spawn_at_desk(&self, task: impl Future<Output = ()> + 'static) {
         let host = self.host("desk");
-        let boot = self.sim.hosts.borrow()[host].boot;
+        let boot = self.sim.hosts.borrow()[host].boot_id;
         self.sim.spawn(host, boot, Box::pin(task));
     }
 
     /// A caller at a node who is cut off in the middle of a body, or whose attempt arrives three times.
-    pub fn guest(&self, node: &str, thrice: bool) {
+    pub fn send_malformed_request(&self, node: &str, thrice: bool) {
         let Some(node) = self.layout.nodes().into_iter().find(|n| n.name == node) else { return };
         let (env, history) = (self.desk(), self.history.clone());
         self.spawn_at_desk(async move {
@@ -33,9 +33,9 @@
     }
 
     /// An operator reads the set back at some node and sends a change against it; answered or not.
-    pub fn change(&self, text: &str) {
+    pub fn request_configuration_change(&self, text: &str) {
         let (env, layout, text) = (self.desk(), self.layout.clone(), text.to_string());
-        self.sim.say(&format!("operator: change {text}"));
+        self.sim.log_event(&format!("operator: change {text}"));
         self.spawn_at_desk(async move {
             let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
             let Some(out) = crate::fleet::ask(&env, at, "GET", "/ops/doorways", "").await else { return };
@@ -46,10 +46,10 @@
     }
 
     /// An operator empties an area for a span and takes it back, at whatever node answers.
-    pub fn empty(&self, area: &str, span: Duration) {
+    pub fn evacuate_zone(&self, area: &str, span: Duration) {
         let (env, layout, words) = (self.desk(), self.layout.clone(), self.words.clone());
         let area = area.to_string();
-        self.sim.say(&format!("operator: empties {area} for a while"));
+        self.sim.log_event(&format!("operator: empties {area} for a while"));
         self.spawn_at_desk(async move {
             let say = async |word: &str| {
                 let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
@@ -100,11 +100,11 @@
 
     /// Starts load at the desk; it ends by itself.
     pub fn drive(&self, sessions: usize, rate: f64, span: Duration) {
-        self.drive_at("", sessions, rate, span);
+        self.start_load_in_zone("", sessions, rate, span);
     }
 
     /// The same, with all callers in one area; everywhere if it has no name.
-    pub fn drive_at(&self, area: &str, sessions: usize, rate: f64, span: Duration) {
+    pub fn start_load_in_zone(&self, area: &str, sessions: usize, rate: f64, span: Duration) {
         let plan = Plan {
             nodes: self.layout.nodes().into_iter().filter(|n| area.is_empty() || n.area == area).collect(),
             sessions,
@@ -119,7 +119,7 @@
     }
 
     /// Opens so many sessions, spread over the nodes, that say one thing and then nothing.
-    pub fn hold(&self, sessions: usize) {
+    pub fn hold_idle_sessions(&self, sessions: usize) {
         let (env, nodes) = (self.desk(), self.layout.nodes());
         self.spawn_at_desk(async move {
             let mut all = Vec::new();
@@ -155,13 +155,13 @@
             let (m, s) = (me.clone(), stop.clone());
             self.spawn_at_desk(async move { m.witness(&n, &s).await });
         }
-        self.sim.later(span, move |_| stop.set(true));
+        self.sim.schedule_action(span, move |_| stop.set(true));
     }
 
     /// An operator wishes that a server lead its group; goes to some node, answered or not.
-    pub fn handover(&self, server: &str) {
+    pub fn request_handover(&self, server: &str) {
         let (env, layout, server) = (self.desk(), self.layout.clone(), server.to_string());
-        self.sim.say(&format!("operator: wishes {server} to lead"));
+        self.sim.log_event(&format!("operator: wishes {server} to lead"));
         self.spawn_at_desk(async move {
             let at = env.rand_below(layout.spokes.len() as u64) as usize;
             let body = format!("{{\"server\":\"{server}\"}}");
@@ -170,19 +170,19 @@
     }
 
     /// An operator puts a server into its group or takes it out, through some node; answered or not.
-    pub fn member(&self, server: &str, join: bool) {
+    pub fn change_membership(&self, server: &str, join: bool) {
         let Some(s) = self.layout.servers.iter().find(|s| s.name == server) else { return };
         let (env, closed) = (self.desk(), self.words.closed.clone());
         let (group, server) = (s.group.clone(), server.to_string());
         let nodes: Vec<SocketAddr> = self.layout.spokes.iter().map(|m| m.http).collect();
-        self.sim.say(&format!("operator: {server} is to {} {group}", if join { "join" } else { "leave" }));
+        self.sim.log_event(&format!("operator: {server} is to {} {group}", if join { "join" } else { "leave" }));
         let sim = self.sim.clone();
         if join {
             closed.borrow_mut().remove(&server);
         }
         self.spawn_at_desk(async move {
             let done = crate::fleet::member_somehow(&env, &nodes, &group, &server, join).await;
-            sim.say(&format!("operator: {server} {group} {}", if done { "taken" } else { "not taken" }));
+            sim.log_event(&format!("operator: {server} {group} {}", if done { "taken" } else { "not taken" }));
             if done && !join {
                 closed.borrow_mut().insert(server, env.now() + Duration::from_secs(3));
             }
--- a/kit/src/sim/town/launch.rs
+++ b/kit/src/sim/deployment/launch.rs
@@ -5,19 +5,19 @@
     settings::{self, NodeConfig},
 };
 
-use super::{Town, What};
+use super::{Town, ProcessKind};
 use crate::{
     platform::{Known, Platform},
     server::Server,
 };
 
 /// The checked place of a settings text of the layout's own.
-fn place(text: &str) -> NodeConfig {
+fn node_config(text: &str) -> NodeConfig {
     settings::read(text.as_bytes()).map(|s| s.check()).expect("settings").expect("settings")
 }
 
 /// What started, or the end of a process that can't start.
-async fn or_die<T, E: std::fmt::Display>(env: &Env, out: Result<T, E>) -> T {
+async fn started_or_abort<T, E: std::fmt::Display>(env: &Env, out: Result<T, E>) -> T {
     match out {
         Ok(t) => t,
         Err(e) => {
@@ -38,21 +38,21 @@
     }
 
     pub(super) fn launch(&self, name: &str) {
-        self.booted.borrow_mut().insert(name.into(), self.sim.now());
+        self.start_times.borrow_mut().insert(name.into(), self.sim.now());
         let (host, what, told) = {
-            let mut procs = self.procs.borrow_mut();
+            let mut procs = self.processes.borrow_mut();
             let p = procs.get_mut(name).expect("a process of the town");
-            p.told = Rc::default();
-            (p.host, p.what.clone(), p.told.clone())
+            p.signals = Rc::default();
+            (p.host, p.kind.clone(), p.signals.clone())
         };
         let env = self.sim.env(host);
-        let (tricks, layout, ended) = (self.tricks, self.layout.clone(), self.ended.clone());
+        let (tricks, layout, ended) = (self.tricks, self.layout.clone(), self.shutdowns.clone());
         let sim = self.sim.clone();
-        let odd = if self.odd.borrow().contains(name) { 20 } else { 1 };
-        let boot = self.sim.hosts.borrow()[host].boot;
+        let odd = if self.with_long_bounds.borrow().contains(name) { 20 } else { 1 };
+        let boot = self.sim.hosts.borrow()[host].boot_id;
         match what {
-            What::Desk => {}
-            What::Platform => {
+            ProcessKind::ClientHost => {}
+            ProcessKind::Platform => {
                 let known = layout.servers.iter();
                 let known =
                     known.map(|s| Known { name: s.name.clone(), group: s.group.clone(), addr: s.addr }).collect();
@@ -66,7 +66,7 @@
                     }),
                 );
             }
-            What::Server(setup) => {
+            ProcessKind::Server(setup) => {
                 let (slot, e) = (self.servers.clone(), env.clone());
                 self.sim.spawn(
                     host,
@@ -80,16 +80,16 @@
                     }),
                 );
             }
-            What::Hub(m) => {
-                let mut place = place(&layout.settings(&m, Some(std::path::Path::new("data"))));
+            ProcessKind::ControlNode(m) => {
+                let mut place = node_config(&layout.settings(&m, Some(std::path::Path::new("data"))));
                 place.bounds.blueprint *= odd;
                 let e = env.clone();
                 self.sim.spawn(
                     host,
                     boot,
                     Box::pin(async move {
-                        let hub = or_die(&e, hub::run(&e, &place, tricks.hub).await).await;
-                        told.bell.wait_until(|| told.leave.get().then_some(())).await;
+                        let hub = started_or_abort(&e, hub::run(&e, &place, tricks.hub).await).await;
+                        told.changed.wait_until(|| told.shutdown.get().then_some(())).await;
                         hub.leave().await;
                         e.sleep(place.bounds.control_heartbeat()).await;
                         ended.borrow_mut().push((m.name.clone(), sim.now()));
@@ -98,8 +98,8 @@
                     }),
                 );
             }
-            What::Spoke(m) => {
-                let mut place = place(&layout.settings(&m, None));
+            ProcessKind::Node(m) => {
+                let mut place = node_config(&layout.settings(&m, None));
                 place.policy = self.policy.borrow().clone();
                 place.bounds.blueprint *= odd;
                 let e = env.clone();
@@ -107,16 +107,16 @@
                     host,
                     boot,
                     Box::pin(async move {
-                        let spoke = or_die(&e, spoke::run(&e, &place, tricks.spoke).await).await;
+                        let spoke = started_or_abort(&e, spoke::run(&e, &place, tricks.spoke).await).await;
                         loop {
-                            let seen = told.bell.generation();
-                            if told.leave.get() {
+                            let seen = told.changed.generation();
+                            if told.shutdown.get() {
                                 break;
                             }
                             if let Some(p) = told.policy.borrow_mut().take() {
                                 spoke.policy(&p);
                             }
-                            told.bell.changed_since(seen).await;
+                            told.changed.changed_since(seen).await;
                         }
                         spoke.leave().await;
                         ended.borrow_mut().push((m.name.clone(), sim.now()));
--- a/kit/src/sim/town/mod.rs
+++ b/kit/src/sim/deployment/mod.rs
@@ -1,9 +1,9 @@
 //! A whole deployment in a simulated world.
 
-mod desk;
+mod client_host;
 mod faults;
 mod guards;
-mod judge;
+mod verification;
 mod launch;
 
 pub use guards::DisabledGuards;
@@ -48,25 +48,25 @@
 
 /// What a process of the town is told by the platform.
 #[derive(Default)]
-struct Told {
-    leave: Cell<bool>,
+struct ProcessSignals {
+    shutdown: Cell<bool>,
     policy: RefCell<Option<PolicySettings>>,
-    bell: Notify,
+    changed: Notify,
 }
 
 #[derive(Clone)]
-enum What {
-    Hub(Machine),
-    Spoke(Machine),
+enum ProcessKind {
+    ControlNode(Machine),
+    Node(Machine),
     Server(Setup),
     Platform,
-    Desk,
+    ClientHost,
 }
 
-struct Proc {
+struct Process {
     host: usize,
-    what: What,
-    told: Rc<Told>,
+    kind: ProcessKind,
+    signals: Rc<ProcessSignals>,
 }
 
 /// A whole deployment in a simulated world.
@@ -77,17 +77,17 @@
     pub words: Rc<Words>,
     pub tricks: DisabledGuards,
     pub seed: u64,
-    procs: RefCell<BTreeMap<String, Proc>>,
+    processes: RefCell<BTreeMap<String, Process>>,
     pub servers: Rc<RefCell<BTreeMap<String, Rc<Server>>>>,
     pub platform: Rc<RefCell<Option<Rc<Platform>>>>,
     pub policy: RefCell<PolicySettings>,
     /// Which process was asked to end, since when it was up, and when it was asked.
-    pub leaves: RefCell<Vec<(String, Duration, Duration)>>,
+    pub shutdown_requests: RefCell<Vec<(String, Duration, Duration)>>,
     /// Processes that count by other bounds.
-    odd: RefCell<std::collections::BTreeSet<String>>,
-    dice: Cell<u64>,
-    booted: RefCell<BTreeMap<String, Duration>>,
-    ended: Rc<RefCell<Vec<(String, Duration)>>>,
+    with_long_bounds: RefCell<std::collections::BTreeSet<String>>,
+    fault_rng: Cell<u64>,
+    start_times: RefCell<BTreeMap<String, Duration>>,
+    shutdowns: Rc<RefCell<Vec<(String, Duration)>>>,
 }
 
 fn addrs() -> impl FnMut() -> SocketAddr {
@@ -111,21 +111,21 @@
             words: Rc::default(),
             tricks,
             seed,
-            procs: RefCell::default(),
+            processes: RefCell::default(),
             servers: Rc::default(),
             platform: Rc::default(),
             policy: RefCell::default(),
-            leaves: RefCell::default(),
-            odd: RefCell::default(),
-            dice: Cell::new(seed.wrapping_mul(0xd1ce).wrapping_add(3)),
-            booted: RefCell::default(),
-            ended: Rc::default(),
+            shutdown_requests: RefCell::default(),
+            with_long_bounds: RefCell::default(),
+            fault_rng: Cell::new(seed.wrapping_mul(0xd1ce).wrapping_add(3)),
+            start_times: RefCell::default(),
+            shutdowns: Rc::default(),
         });
-        let add = |name: &str, area: &str, what: What| {
+        let add = |name: &str, area: &str, what: ProcessKind| {
             let host = me.sim.host(name, area);
-            me.procs.borrow_mut().insert(name.into(), Proc { host, what, told: Rc::default() });
+            me.processes.borrow_mut().insert(name.into(), Process { host, kind: what, signals: Rc::default() });
         };
-        add("platform", "platform", What::Platform);
+        add("platform", "platform", ProcessKind::Platform);
         for s in &layout.servers {
             let setup = Setup {
                 name: s.name.clone(),
@@ -138,38 +138,38 @@
                 closed: me.words.closed.clone(),
                 drain: Duration::from_secs(7),
             };
-            add(&s.name, &s.area, What::Server(setup));
+            add(&s.name, &s.area, ProcessKind::Server(setup));
         }
         for h in &layout.hubs {
-            add(&h.name, &h.area, What::Hub(h.clone()));
+            add(&h.name, &h.area, ProcessKind::ControlNode(h.clone()));
         }
         for n in &layout.spokes {
-            add(&n.name, &n.area, What::Spoke(n.clone()));
+            add(&n.name, &n.area, ProcessKind::Node(n.clone()));
         }
-        add("desk", "desk", What::Desk);
-        let names: Vec<String> = me.procs.borrow().keys().cloned().collect();
+        add("desk", "desk", ProcessKind::ClientHost);
+        let names: Vec<String> = me.processes.borrow().keys().cloned().collect();
         names.iter().for_each(|n| me.launch(n));
         me
     }
 
     fn host(&self, name: &str) -> usize {
-        self.procs.borrow()[name].host
+        self.processes.borrow()[name].host
     }
 
     /// Names of all processes.
-    pub fn names(&self) -> Vec<String> {
-        self.procs.borrow().keys().cloned().collect()
+    pub fn process_names(&self) -> Vec<String> {
+        self.processes.borrow().keys().cloned().collect()
     }
 
     /// Names of the processes of an area.
-    pub fn area(&self, area: &str) -> Vec<String> {
+    pub fn processes_in_zone(&self, area: &str) -> Vec<String> {
         let hosts = self.sim.hosts.borrow();
-        self.procs.borrow().iter().filter(|(_, p)| hosts[p.host].area == area).map(|(n, _)| n.clone()).collect()
+        self.processes.borrow().iter().filter(|(_, p)| hosts[p.host].zone == area).map(|(n, _)| n.clone()).collect()
     }
 
     /// A number below `top` for choosing faults; no process draws from the same dice, so that a change of the product
     /// leaves the choice as it was.
-    pub fn roll(&self, top: u64) -> u64 {
-        base::position::next_random(&self.dice) % top.max(1)
+    pub fn fault_rand_below(&self, top: u64) -> u64 {
+        base::position::next_random(&self.fault_rng) % top.max(1)
     }
 }
--- a/kit/src/sim/town/judge.rs
+++ b/kit/src/sim/deployment/verification.rs
@@ -9,8 +9,8 @@
 
 impl Town {
     /// The hub that leads, as the hubs' own log lines tell.
-    pub fn glance(&self) -> Option<String> {
-        let lines = self.sim.lines.borrow();
+    pub fn control_leader_in_log(&self) -> Option<String> {
+        let lines = self.sim.log_lines.borrow();
         lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.who.clone())
     }
 
@@ -56,9 +56,9 @@
                 out.push(format!("{name}: {} connections over the cap of {}", st.most_open, s.setup.cap));
             }
         }
-        for (name, up, at) in self.leaves.borrow().iter() {
+        for (name, up, at) in self.shutdown_requests.borrow().iter() {
             // A caller in whose hands the connection breaks while the node goes down as asked.
-            let ended = self.ended.borrow();
+            let ended = self.shutdowns.borrow();
             let end = ended.iter().find(|e| e.0 == *name && e.1 >= *at && e.1 < *at + Duration::from_secs(10));
             let Some((_, end)) = end else { continue };
             for e in self.history.events.borrow().iter().filter(|e| e.node == *name && e.code == 0) {
--- a/kit/src/sim/disk.rs
+++ b/kit/src/sim/disk.rs
@@ -8,25 +8,25 @@
 
 use base::runtime::{Disk, LocalFuture};
 
-use super::{core::Sim, world::rest};
+use super::{core::Sim, runtime::sleep_sim_time};
 
 /// A host's files as they survive a kill.
 #[derive(Default)]
-pub(super) struct Files {
-    pub map: RefCell<BTreeMap<String, Vec<u8>>>,
+pub(super) struct DiskFiles {
+    pub contents: RefCell<BTreeMap<String, Vec<u8>>>,
     pub full: Cell<bool>,
     pub broken: Cell<bool>,
 }
 
-impl Files {
+impl DiskFiles {
     /// Everything is lost.
     pub fn wipe(&self) {
-        self.map.borrow_mut().clear();
+        self.contents.borrow_mut().clear();
     }
 
     /// The newer half of every file's lines is lost, as when an older copy is put back.
-    pub fn shorten(&self) {
-        for data in self.map.borrow_mut().values_mut() {
+    pub fn restore_older_copy(&self) {
+        for data in self.contents.borrow_mut().values_mut() {
             let lines = data.iter().filter(|b| **b == b'\n').count();
             let keep: usize = data.split_inclusive(|b| *b == b'\n').take(lines.div_ceil(2)).map(<[u8]>::len).sum();
             data.truncate(keep);
@@ -34,10 +34,10 @@
     }
 
     /// Rots a byte of every file whose name starts so.
-    pub fn rot(&self, sim: &Sim, prefix: &str) {
-        for (_, data) in self.map.borrow_mut().iter_mut().filter(|(n, _)| n.starts_with(prefix)) {
+    pub fn corrupt(&self, sim: &Sim, prefix: &str) {
+        for (_, data) in self.contents.borrow_mut().iter_mut().filter(|(n, _)| n.starts_with(prefix)) {
             if !data.is_empty() {
-                let at = sim.below(data.len() as u64) as usize;
+                let at = sim.rand_below(data.len() as u64) as usize;
                 data[at] ^= 0x55;
             }
         }
@@ -45,26 +45,26 @@
 }
 
 /// The disk seam of a simulated process.
-pub(super) struct Drive {
+pub(super) struct SimDisk {
     pub sim: Rc<Sim>,
-    pub files: Rc<Files>,
+    pub files: Rc<DiskFiles>,
 }
 
 /// A write under way: cut short if the process is killed before it is done.
-struct Write {
+struct PendingWrite {
     sim: Rc<Sim>,
-    files: Rc<Files>,
+    files: Rc<DiskFiles>,
     name: String,
-    at: Option<u64>,
+    offset: Option<u64>,
     data: Vec<u8>,
     done: bool,
 }
 
-impl Write {
-    fn put(&self, size: usize) {
-        let mut map = self.files.map.borrow_mut();
+impl PendingWrite {
+    fn apply(&self, size: usize) {
+        let mut map = self.files.contents.borrow_mut();
         let file = map.entry(self.name.clone()).or_default();
-        let at = match self.at {
+        let at = match self.offset {
             Some(at) => at as usize,
             None => {
                 file.clear();
@@ -78,45 +78,45 @@
     }
 }
 
-impl Drop for Write {
+impl Drop for PendingWrite {
     fn drop(&mut self) {
-        if !self.done && self.sim.below(2) == 0 {
-            let size = self.sim.below(self.data.len() as u64 + 1) as usize;
-            self.put(size);
+        if !self.done && self.sim.rand_below(2) == 0 {
+            let size = self.sim.rand_below(self.data.len() as u64 + 1) as usize;
+            self.apply(size);
         }
     }
 }
 
-impl Drive {
-    fn start(&self, name: &str, at: Option<u64>, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
+impl SimDisk {
+    fn begin_write(&self, name: &str, at: Option<u64>, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         let (sim, files, name) = (self.sim.clone(), self.files.clone(), name.to_string());
         Box::pin(async move {
             if files.full.get() {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            let mut w = Write { sim: sim.clone(), files: files.clone(), name, at, data, done: false };
-            rest(&sim, Duration::from_micros(300 + sim.below(4000))).await;
+            let mut w = PendingWrite { sim: sim.clone(), files: files.clone(), name, offset: at, data, done: false };
+            sleep_sim_time(&sim, Duration::from_micros(300 + sim.rand_below(4000))).await;
             if files.broken.get() {
                 return Err(io::Error::other("input/output error"));
             }
             w.done = true;
-            w.put(w.data.len());
+            w.apply(w.data.len());
             Ok(())
         })
     }
 }
 
-impl Disk for Drive {
+impl Disk for SimDisk {
     fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>> {
-        let out = self.files.map.borrow().get(name).cloned();
+        let out = self.files.contents.borrow().get(name).cloned();
         Box::pin(async move { Ok(out) })
     }
 
     fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
-        self.start(name, None, data)
+        self.begin_write(name, None, data)
     }
 
     fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
-        self.start(name, Some(at), data)
+        self.begin_write(name, Some(at), data)
     }
 }
--- a/kit/src/sim/harm.rs
+++ b/kit/src/sim/fault_injection.rs
@@ -56,17 +56,17 @@
 ];
 
 /// What was done, and how long it lasts.
-pub struct Done {
-    pub text: String,
-    pub span: Duration,
+pub struct InjectedFault {
+    pub target: String,
+    pub duration: Duration,
 }
 
-fn pick<'a>(town: &Town, all: &'a [String]) -> &'a str {
-    &all[town.roll(all.len() as u64) as usize]
+fn pick_name<'a>(town: &Town, all: &'a [String]) -> &'a str {
+    &all[town.fault_rand_below(all.len() as u64) as usize]
 }
 
 /// The one server of a group that loses its log in this run.
-fn one_of(town: &Town, group: &str) -> String {
+fn log_loss_server(town: &Town, group: &str) -> String {
     let all: Vec<&str> = town.layout.servers.iter().filter(|s| s.group == group).map(|s| s.name.as_str()).collect();
     all[town.seed as usize % 3].into()
 }
@@ -76,9 +76,9 @@
 }
 
 /// Does something to the town at a later time, if it is still there.
-fn later(town: &Rc<Town>, span: Duration, act: impl FnOnce(&Rc<Town>) + 'static) {
+fn schedule(town: &Rc<Town>, span: Duration, act: impl FnOnce(&Rc<Town>) + 'static) {
     let weak = Rc::downgrade(town);
-    town.sim.later(span, move |_: &Rc<Sim>| {
+    town.sim.schedule_action(span, move |_: &Rc<Sim>| {
         if let Some(t) = weak.upgrade() {
             act(&t);
         }
@@ -86,67 +86,67 @@
 }
 
 /// Says a timeline's word to a process at a later time.
-fn word(town: &Rc<Town>, span: Duration, name: &str, word: &'static str) {
+fn schedule_action(town: &Rc<Town>, span: Duration, name: &str, word: &'static str) {
     let name = name.to_string();
-    later(town, span, move |t| timeline::act(t, &name, word));
+    schedule(town, span, move |t| timeline::act(t, &name, word));
 }
 
 /// Heals both ways at a later time.
-fn heal(town: &Rc<Town>, span: Duration, one: &str, other: &str) {
+fn schedule_heal(town: &Rc<Town>, span: Duration, one: &str, other: &str) {
     let (a, b) = (one.to_string(), other.to_string());
-    later(town, span, move |t| {
-        t.heal(&a, &b);
-        t.heal(&b, &a);
+    schedule(town, span, move |t| {
+        t.heal_path(&a, &b);
+        t.heal_path(&b, &a);
     });
 }
 
 /// Brings one fault of a kind about.
-pub fn harm(town: &Rc<Town>, kind: &str) -> Done {
+pub fn inject_fault(town: &Rc<Town>, kind: &str) -> InjectedFault {
     let names = |all: &[crate::fleet::Machine]| -> Vec<String> { all.iter().map(|m| m.name.clone()).collect() };
     let (hubs, spokes) = (names(&town.layout.hubs), names(&town.layout.spokes));
-    let spares = town.roll(4) == 0;
+    let spares = town.fault_rand_below(4) == 0;
     let servers = town.layout.servers.iter().filter(|s| spares || !s.spare);
     let servers: Vec<String> = servers.map(|s| s.name.clone()).collect();
     let all = [hubs.clone(), spokes.clone(), servers.clone()].concat();
     let areas = town.layout.areas.clone();
-    let group = format!("g{}", 1 + town.roll(3));
-    let span = ms(200 + town.roll(6000));
+    let group = format!("g{}", 1 + town.fault_rand_below(3));
+    let span = ms(200 + town.fault_rand_below(6000));
     let node = |name: &str| {
         let m = town.layout.spokes.iter().find(|m| m.name == name).expect("a spoke");
         Node { name: m.name.clone(), area: m.area.clone(), addr: m.http }
     };
-    let done = |text: &str, span: Duration| Done { text: text.into(), span };
+    let done = |text: &str, span: Duration| InjectedFault { target: text.into(), duration: span };
     let down = |name: &str, how: &str, span: Duration| {
         if name.is_empty() {
             return done("nobody", Duration::ZERO);
         }
         timeline::act(town, name, how);
-        word(town, span, name, "start");
+        schedule_action(town, span, name, "start");
         done(name, span)
     };
     match kind {
-        "kill-server" => down(pick(town, &servers), "kill", span),
-        "kill-hub" => down(pick(town, &hubs), "kill", span),
-        "kill-spoke" => down(pick(town, &spokes), "kill", span),
+        "kill-server" => down(pick_name(town, &servers), "kill", span),
+        "kill-hub" => down(pick_name(town, &hubs), "kill", span),
+        "kill-spoke" => down(pick_name(town, &spokes), "kill", span),
         "kill-leader" => down(&town.leader(&group).unwrap_or_default(), "kill", span),
         "dark-leader" => down(&town.leader(&group).unwrap_or_default(), "dark", span),
         "dark-chief" => {
-            let name = town.glance().unwrap_or_else(|| hubs[0].clone());
+            let name = town.control_leader_in_log().unwrap_or_else(|| hubs[0].clone());
             down(&name, "dark", span)
         }
-        "dark-back" => down(pick(town, &all), "dark", ms(30 + town.roll(300))),
-        "dark-area" => down(pick(town, &areas), "dark", span),
+        "dark-back" => down(pick_name(town, &all), "dark", ms(30 + town.fault_rand_below(300))),
+        "dark-area" => down(pick_name(town, &areas), "dark", span),
         // One lost log in a group, one lost disk of the hubs: it is always the same one, as that is what three can bear.
-        "replace-server" => down(&one_of(town, &group), "wipe", ms(20 + town.roll(1500))),
-        "short-server" => down(&one_of(town, &group), "short", ms(20 + town.roll(1500))),
+        "replace-server" => down(&log_loss_server(town, &group), "wipe", ms(20 + town.fault_rand_below(1500))),
+        "short-server" => down(&log_loss_server(town, &group), "short", ms(20 + town.fault_rand_below(1500))),
         "replace-then-dark" => {
-            let (name, lead) = (one_of(town, &group), town.leader(&group).unwrap_or_default());
-            let out = down(&name, "wipe", ms(20 + town.roll(1500)));
+            let (name, lead) = (log_loss_server(town, &group), town.leader(&group).unwrap_or_default());
+            let out = down(&name, "wipe", ms(20 + town.fault_rand_below(1500)));
             if lead == name || lead.is_empty() {
                 return out;
             }
-            word(town, ms(town.roll(2000)), &lead, "dark");
-            word(town, ms(2000) + span, &lead, "start");
+            schedule_action(town, ms(town.fault_rand_below(2000)), &lead, "dark");
+            schedule_action(town, ms(2000) + span, &lead, "start");
             done(&format!("{name} {lead}"), ms(2000) + span)
         }
         "wipe-hub" | "rot-hub" => {
@@ -154,22 +154,22 @@
             town.kill(name);
             match kind {
                 "wipe-hub" => town.wipe(name),
-                _ => town.rot(name, ["slot", "log", ""][town.roll(3) as usize]),
+                _ => town.corrupt_files(name, ["slot", "log", ""][town.fault_rand_below(3) as usize]),
             }
-            word(town, span, name, "start");
+            schedule_action(town, span, name, "start");
             done(name, span)
         }
         "full-hub" => {
-            let name = pick(town, &hubs);
-            town.fill(name, true);
-            word(town, span, name, "room");
-            word(town, span, name, "start");
+            let name = pick_name(town, &hubs);
+            town.set_disk_full(name, true);
+            schedule_action(town, span, name, "room");
+            schedule_action(town, span, name, "start");
             done(name, span)
         }
         "cold-group" => {
             let all: Vec<&String> = servers.iter().filter(|s| s.starts_with(&group)).collect();
             all.iter().for_each(|s| {
-                down(s, "kill", ms(200 + town.roll(1000)));
+                down(s, "kill", ms(200 + town.fault_rand_below(1000)));
             });
             done(&group, ms(1200))
         }
@@ -180,81 +180,81 @@
             done("", span)
         }
         "restart-hub" | "restart-spoke" => {
-            let name = pick(town, if kind == "restart-hub" { &hubs } else { &spokes });
+            let name = pick_name(town, if kind == "restart-hub" { &hubs } else { &spokes });
             if town.up(name) {
                 town.leave(name);
             }
-            word(town, ms(6000), name, "start");
+            schedule_action(town, ms(6000), name, "start");
             done(name, ms(6000))
         }
         "freeze" => {
-            let name = pick(town, &all);
+            let name = pick_name(town, &all);
             if town.up(name) {
                 town.freeze(name);
             }
-            word(town, span, name, "thaw");
+            schedule_action(town, span, name, "thaw");
             done(name, span)
         }
         "cut-areas" | "cut-one-way" | "triangle" => {
-            let at = town.roll(3) as usize;
-            let (one, other) = (&areas[at], &areas[(at + 1 + town.roll(2) as usize) % 3]);
-            town.cut(one, other);
+            let at = town.fault_rand_below(3) as usize;
+            let (one, other) = (&areas[at], &areas[(at + 1 + town.fault_rand_below(2) as usize) % 3]);
+            town.cut_path(one, other);
             if kind != "cut-one-way" {
-                town.cut(other, one);
+                town.cut_path(other, one);
             }
-            let span = if kind == "triangle" { ms(5000 + town.roll(900)) } else { span };
-            heal(town, span, one, other);
+            let span = if kind == "triangle" { ms(5000 + town.fault_rand_below(900)) } else { span };
+            schedule_heal(town, span, one, other);
             done(&format!("{one} {other}"), span)
         }
         "island" => {
             // Cut off from the others and the platform; its callers go on.
-            let name = pick(town, &areas);
+            let name = pick_name(town, &areas);
             for other in areas.iter().map(String::as_str).chain(["platform"]).filter(|a| *a != name) {
-                town.part(name, other);
-                heal(town, span, name, other);
+                town.cut_both_paths(name, other);
+                schedule_heal(town, span, name, other);
             }
             done(name, span)
         }
         "half-open" => {
-            let name = pick(town, &all);
-            let other = ["desk", areas[town.roll(3) as usize].as_str()][town.roll(2) as usize].to_string();
-            town.cut(name, &other);
-            heal(town, span, name, &other);
+            let name = pick_name(town, &all);
+            let other = ["desk", areas[town.fault_rand_below(3) as usize].as_str()][town.fault_rand_below(2) as usize].to_string();
+            town.cut_path(name, &other);
+            schedule_heal(town, span, name, &other);
             done(&format!("{name} {other}"), span)
         }
         "cut-process" => {
-            let (one, other) = (pick(town, &all), pick(town, &all));
-            town.cut(one, other);
-            if town.roll(2) == 0 {
-                town.cut(other, one);
+            let (one, other) = (pick_name(town, &all), pick_name(town, &all));
+            town.cut_path(one, other);
+            if town.fault_rand_below(2) == 0 {
+                town.cut_path(other, one);
             }
-            heal(town, span, one, other);
+            schedule_heal(town, span, one, other);
             done(&format!("{one} {other}"), span)
         }
         "slow" => {
-            let (one, other) = (pick(town, &areas).to_string(), pick(town, &areas).to_string());
-            town.slow(&one, &other, ms(20 + town.roll(300)));
+            let (one, other) = (pick_name(town, &areas).to_string(), pick_name(town, &areas).to_string());
+            town.slow(&one, &other, ms(20 + town.fault_rand_below(300)));
             let text = format!("{one} {other}");
-            later(town, span, move |t| t.slow(&one, &other, Duration::ZERO));
+            schedule(town, span, move |t| t.slow(&one, &other, Duration::ZERO));
             done(&text, span)
         }
         "join" | "quit" => {
-            let name = if kind == "join" { format!("{group}-d") } else { pick(town, &servers).to_string() };
-            town.member(&name, kind == "join");
+            let name = if kind == "join" { format!("{group}-d") } else { pick_name(town, &servers).to_string() };
+            town.change_membership(&name, kind == "join");
             done(&name, ms(4000))
         }
         "handover" => {
-            let name = pick(town, &servers);
-            town.handover(name);
+            let name = pick_name(town, &servers);
+            town.request_handover(name);
             done(name, ms(1000))
         }
         "policy" => {
             let p = base::settings::PolicySettings {
-                eval_interval_ms: 200 + town.roll(5000),
-                max_lag: 1 + town.roll(20),
-                resample: town.roll(2) == 0,
+                eval_interval_ms: 200 + town.fault_rand_below(5000),
+                max_lag: 1 + town.fault_rand_below(20),
+                resample: town.fault_rand_below(2) == 0,
                 resample_interval_ms: 1000,
-                per_kind: town.roll(2) == 0,
+                per_kind: town.fault_rand_below(2) == 0,
                 ..Default::default()
             };
             town.set_policy(&p);
@@ -263,75 +263,75 @@
         "limits" => {
             let text = format!(
                 "\"limits\":{{\"statement_ms\":{},\"idle_ms\":{}}}",
-                1500 + town.roll(3000),
-                500 + town.roll(9000)
+                1500 + town.fault_rand_below(3000),
+                500 + town.fault_rand_below(9000)
             );
-            town.change(&text);
+            town.request_configuration_change(&text);
             done(&text, Duration::ZERO)
         }
         "odd-bounds" => {
-            let name = pick(town, &spokes);
+            let name = pick_name(town, &spokes);
             timeline::act(town, name, "odd");
-            word(town, ms(2000), name, "even");
+            schedule_action(town, ms(2000), name, "even");
             done(name, ms(2000))
         }
         "reset" => {
-            let name = pick(town, &all);
-            town.reset(name);
+            let name = pick_name(town, &all);
+            town.reset_connections(name);
             done(name, Duration::ZERO)
         }
         "stall-then-dark" => {
             let name = town.leader(&group).unwrap_or_default();
             let others: Vec<String> =
                 servers.iter().filter(|s| s.starts_with(&group) && **s != name).cloned().collect();
-            let one = pick(town, &others);
+            let one = pick_name(town, &others);
             timeline::act(town, one, "stall");
-            word(town, span, one, "flow");
-            word(town, ms(town.roll(3000)), &name, "dark");
-            word(town, span + ms(4000), &name, "start");
+            schedule_action(town, span, one, "flow");
+            schedule_action(town, ms(town.fault_rand_below(3000)), &name, "dark");
+            schedule_action(town, span + ms(4000), &name, "start");
             done(&format!("{one} {name}"), span + ms(4000))
         }
         "stall" | "sick" | "drain" => {
-            let name = pick(town, &servers);
+            let name = pick_name(town, &servers);
             timeline::act(town, name, kind);
             let end = match kind {
                 "stall" => "flow",
                 "sick" => "well",
                 _ => "drained",
             };
-            word(town, span, name, end);
+            schedule_action(town, span, name, end);
             done(name, span)
         }
         "mute" | "late-answer" => {
-            let name = match town.roll(2) {
-                0 => pick(town, &servers).to_string(),
+            let name = match town.fault_rand_below(2) {
+                0 => pick_name(town, &servers).to_string(),
                 _ => town.leader(&group).unwrap_or_default(),
             };
             timeline::act(town, &name, if kind == "mute" { "mute" } else { "late" });
             done(&name, Duration::ZERO)
         }
         "empty" => {
-            let name = pick(town, &areas);
-            town.empty(name, span + ms(5500));
+            let name = pick_name(town, &areas);
+            town.evacuate_zone(name, span + ms(5500));
             done(name, span + ms(6000))
         }
         "nonsense" => {
-            town.change("\"put\":[{\"name\":\"x\",\"group\":\"none\",\"promise\":\"any\"}]");
-            town.change("\"put\":[{\"name\":\"x\",\"group\":\"g1\",\"promise\":\"best\"}]");
+            town.request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"none\",\"promise\":\"any\"}]");
+            town.request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"g1\",\"promise\":\"best\"}]");
             done("", Duration::ZERO)
         }
         "race" => {
-            (0..4).for_each(|_| town.change("\"put\":[]"));
+            (0..4).for_each(|_| town.request_configuration_change("\"put\":[]"));
             done("", Duration::ZERO)
         }
         "caller-cut" => {
-            let (env, at, id) = (town.desk(), node(pick(town, &spokes)), town.history.numbers.next());
+            let (env, at, id) = (town.desk(), node(pick_name(town, &spokes)), town.history.numbers.next());
             let text = at.name.clone();
             town.spawn_at_desk(async move { load::cut_short(&env, at.addr, id).await });
             done(&text, Duration::ZERO)
         }
         "twice" => {
-            let (env, at, history) = (town.desk(), node(pick(town, &spokes)), town.history.clone());
+            let (env, at, history) = (town.desk(), node(pick_name(town, &spokes)), town.history.clone());
             let text = at.name.clone();
             town.spawn_at_desk(async move { load::thrice(&env, &at, &history).await });
             done(&text, Duration::ZERO)
--- a/kit/src/sim/figures.rs
+++ b/kit/src/sim/measurements.rs
@@ -11,7 +11,7 @@
     Duration::from_secs(n)
 }
 
-fn page(town: &Rc<Town>, node: usize, path: &str) -> String {
+fn fetch_page(town: &Rc<Town>, node: usize, path: &str) -> String {
     let (env, addr, path) = (town.desk(), town.layout.spokes[node].http, path.to_string());
     let out = town.at_desk(secs(5), async move { fleet::ask(&env, addr, "GET", &path, "").await });
     out.flatten().map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default()
@@ -19,7 +19,7 @@
 
 /// The share of a server's connections that a node's own page shows.
 fn share(town: &Rc<Town>, node: usize, server: &str) -> u64 {
-    let text = page(town, node, "/status");
+    let text = fetch_page(town, node, "/status");
     let part = text.split(&format!("\"server\":\"{server}\",\"share\":")).nth(1).unwrap_or("0");
     part.split(',').next().and_then(|n| n.parse().ok()).unwrap_or(0)
 }
@@ -52,7 +52,7 @@
                 t.sim.pass(secs(1));
                 out += (0..t.layout.spokes.len())
                     .filter(|n| {
-                        let lists = page(&t, *n, "/lists");
+                        let lists = fetch_page(&t, *n, "/lists");
                         let part = lists.split("\"database\":\"hours\"").nth(1).unwrap_or("");
                         let set = part.split("\"eligible\":[").nth(1).and_then(|p| p.split(']').next()).unwrap_or("");
                         !set.contains("g3-b")
@@ -82,11 +82,11 @@
         all
     };
     row("idle");
-    t.drive_at("north", 200, 300.0, secs(10));
+    t.start_load_in_zone("north", 200, 300.0, secs(10));
     t.sim.pass(secs(9));
     row("north busy");
     t.sim.pass(secs(2));
-    t.drive_at("mid", 200, 300.0, secs(10));
+    t.start_load_in_zone("mid", 200, 300.0, secs(10));
     let mut moved = None;
     for i in 0..40 {
         t.sim.pass(Duration::from_millis(250));
@@ -100,10 +100,10 @@
     row("idle again");
 }
 
-fn counted(town: &Rc<Town>, span: Duration) -> BTreeMap<(String, String), (u64, u64)> {
-    let before = town.sim.sent();
+fn count_traffic(town: &Rc<Town>, span: Duration) -> BTreeMap<(String, String), (u64, u64)> {
+    let before = town.sim.write_totals();
     town.sim.pass(span);
-    let mut after = town.sim.sent();
+    let mut after = town.sim.write_totals();
     for (k, v) in before {
         let x = after.entry(k).or_default();
         *x = (x.0 - v.0, x.1 - v.1);
@@ -111,15 +111,15 @@
     after
 }
 
-fn sum(all: &BTreeMap<(String, String), (u64, u64)>, pairs: &[(&str, &str)]) -> (u64, u64) {
+fn sum_traffic(all: &BTreeMap<(String, String), (u64, u64)>, pairs: &[(&str, &str)]) -> (u64, u64) {
     let hit = |k: &(String, String)| pairs.iter().any(|p| (p.0, p.1) == (k.0.as_str(), k.1.as_str()));
     all.iter().filter(|(k, _)| hit(k)).fold((0, 0), |a, (_, v)| (a.0 + v.0, a.1 + v.1))
 }
 
-const CONTROL: [(&str, &str); 4] = [("hub", "hub"), ("hub", "spoke"), ("spoke", "hub"), ("spoke", "spoke")];
+const CONTROL_TRAFFIC: [(&str, &str); 4] = [("hub", "hub"), ("hub", "spoke"), ("spoke", "hub"), ("spoke", "spoke")];
 
 /// Messages between hubs and spokes, by the number of machines.
-fn control() {
+fn control_traffic() {
     println!(
         "\ncontrol, no callers: writes and bytes a second between hubs and spokes, all together and for each machine"
     );
@@ -131,23 +131,23 @@
             continue;
         }
         t.sim.pass(secs(5));
-        let (n, b) = sum(&counted(&t, secs(10)), &CONTROL);
+        let (n, b) = sum_traffic(&count_traffic(&t, secs(10)), &CONTROL_TRAFFIC);
         let each = machines as u64 * 10;
         println!("{machines:>10}{:>10}{:>12}{:>12}{:>14}", n / 10, b / 10, n / each, b / each);
     }
 }
 
 /// What a statement and an idle session cost over what runs anyhow.
-fn cost() {
+fn request_cost() {
     println!("\ncost: writes to the network and bytes, over an idle town of nine machines");
     let idle = |sessions: usize| {
         let t = Town::new(6, Build { machines: 9, ..Build::default() });
         let _ = t.settle(secs(60));
         t.drive(sessions, 0.001, secs(30));
-        t.hold(sessions);
+        t.hold_idle_sessions(sessions);
         t.sim.pass(secs(5));
         let polls = t.sim.trace().1;
-        let all = counted(&t, secs(10));
+        let all = count_traffic(&t, secs(10));
         (all.values().map(|v| v.0).sum::<u64>(), t.sim.trace().1 - polls)
     };
     let (none, some) = (idle(1), idle(300));
@@ -160,25 +160,25 @@
         let t = Town::new(6, Build { machines: 9, cap: 80, ..Build::default() });
         let _ = t.settle(secs(60));
         t.sim.pass(secs(5));
-        let base = counted(&t, secs(10));
+        let base = count_traffic(&t, secs(10));
         t.drive(300, rate, secs(14));
         t.sim.pass(secs(2));
         let before = t.history.events.borrow().len();
-        let (polls, all) = (t.sim.trace().1, counted(&t, secs(10)));
+        let (polls, all) = (t.sim.trace().1, count_traffic(&t, secs(10)));
         let polls = t.sim.trace().1 - polls;
         let n = (t.history.events.borrow().len() - before).max(1) as f64;
         for (what, pairs) in [
             ("callers and spokes", [("desk", "spoke"), ("spoke", "desk")]),
             ("spokes and servers", [("spoke", "server"), ("server", "spoke")]),
         ] {
-            let (a, b) = (sum(&all, &pairs), sum(&base, &pairs));
+            let (a, b) = (sum_traffic(&all, &pairs), sum_traffic(&base, &pairs));
             println!(
                 "{name:>6} {what}: {:.2} writes and {:.0} bytes for each request",
                 (a.0 as f64 - b.0 as f64) / n,
                 (a.1 as f64 - b.1 as f64) / n
             );
         }
-        let (a, b) = (sum(&all, &CONTROL), sum(&base, &CONTROL));
+        let (a, b) = (sum_traffic(&all, &CONTROL_TRAFFIC), sum_traffic(&base, &CONTROL_TRAFFIC));
         println!("{name:>6} hubs and spokes: {} writes a second, {} without callers", a.0 / 10, b.0 / 10);
         println!("{name:>6} task steps of all processes for each request: {:.0}", polls as f64 / n);
     }
@@ -186,7 +186,7 @@
 
 /// Prints the figures of docs/measured.md again; `only` one section.
 pub fn figures(only: Option<&str>) {
-    for (name, print) in [("selection", selection as fn()), ("shares", shares), ("control", control), ("cost", cost)] {
+    for (name, print) in [("selection", selection as fn()), ("shares", shares), ("control", control_traffic), ("cost", request_cost)] {
         if only.is_none_or(|o| o == name) {
             print();
         }
--- a/kit/src/sim/mod.rs
+++ b/kit/src/sim/mod.rs
@@ -2,21 +2,21 @@
 
 mod core;
 mod disk;
-mod figures;
-mod hall;
-mod harm;
+mod measurements;
+mod platform_deployment;
+mod fault_injection;
 mod net;
 mod operators;
-mod swarm;
+mod randomized_run;
 mod timeline;
-mod town;
-mod world;
+mod deployment;
+mod runtime;
 
 pub use core::{Line, Sim};
-pub use figures::figures;
-pub use hall::{AREAS, Build as HallBuild, Hall};
-pub use harm::KINDS;
+pub use measurements::figures;
+pub use platform_deployment::{AREAS, Build as HallBuild, Hall};
+pub use fault_injection::KINDS;
 pub use operators::Operators;
-pub use swarm::{Draw, Outcome, swarm};
+pub use randomized_run::{Draw, Outcome, swarm};
 pub use timeline::{Scene, act, drawn, play};
-pub use town::{Build, DisabledGuards, Town};
+pub use deployment::{Build, DisabledGuards, Town};
--- a/kit/src/sim/operators.rs
+++ b/kit/src/sim/operators.rs
@@ -9,11 +9,11 @@
 use crate::check_orders::{self, Attempt, Heard, History, Read};
 
 /// How long an operator waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often an order is sent before the operator gives up.
-const TRIES: u32 = 20;
+const MAX_ATTEMPTS: u32 = 20;
 /// How long the pause before an order is sent again grows at most.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Several operators at one desk, and all that they saw.
 pub struct Operators {
@@ -24,7 +24,7 @@
     running: std::cell::Cell<usize>,
 }
 
-type Sent = (Order, check_orders::Order);
+type SentOrder = (Order, check_orders::Order);
 
 impl Operators {
     /// Operators of a deployment that is settled.
@@ -45,7 +45,7 @@
             let me = self.clone();
             me.running.set(me.running.get() + 1);
             hall.to_desk(async move {
-                me.work(n, until).await;
+                me.run_operator(n, until).await;
                 me.running.set(me.running.get() - 1);
             });
         }
@@ -58,8 +58,8 @@
         let (me, done) = (self.clone(), Rc::new(std::cell::Cell::new(false)));
         let told = done.clone();
         hall.to_desk(async move {
-            while me.read().await.is_none() {
-                me.env.sleep(LONGEST_PAUSE).await;
+            while me.read_configuration().await.is_none() {
+                me.env.sleep(MAX_RETRY_DELAY).await;
             }
             told.set(true);
         });
@@ -82,27 +82,27 @@
         self.nodes[self.env.rand_below(self.nodes.len() as u64) as usize]
     }
 
-    async fn work(&self, who: usize, until: Duration) {
-        let mut old: Vec<Sent> = Vec::new();
+    async fn run_operator(&self, who: usize, until: Duration) {
+        let mut old: Vec<SentOrder> = Vec::new();
         let mut count = 0;
         while self.env.now() < until {
-            if let Some(read) = self.read().await {
+            if let Some(read) = self.read_configuration().await {
                 count += 1;
-                let sent = self.make(&read, &format!("op{who}-{count}"));
-                self.insist(&sent).await;
+                let sent = self.build_order(&read, &format!("op{who}-{count}"));
+                self.send_until_answered(&sent).await;
                 old.push(sent);
             }
             // A late copy of an order whose fate was told long ago.
             if self.env.rand_below(3) == 0 && !old.is_empty() {
                 let again = &old[self.env.rand_below(old.len() as u64) as usize];
-                self.send(again, PATIENCE).await;
+                self.send_once(again, RESPONSE_TIMEOUT).await;
             }
             self.env.sleep(Duration::from_millis(self.env.rand_below(200))).await;
         }
     }
 
     /// An order on top of what was read back. Operators often choose the same number.
-    fn make(&self, read: &Read, mark: &str) -> Sent {
+    fn build_order(&self, read: &Read, mark: &str) -> SentOrder {
         let number = read.number + 1 + self.env.rand_below(2);
         let whole = self.env.rand_below(2) == 0;
         let make = if whole { Order::whole } else { Order::patch };
@@ -111,20 +111,20 @@
     }
 
     /// Sends an order until there is a clear answer; now and then without waiting for one.
-    async fn insist(&self, sent: &Sent) {
+    async fn send_until_answered(&self, sent: &SentOrder) {
         let mut pause = Duration::from_millis(50);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let span =
-                if self.env.rand_below(3) == 0 { Duration::from_millis(self.env.rand_below(60)) } else { PATIENCE };
-            if self.send(sent, span).await != Heard::Nothing {
+                if self.env.rand_below(3) == 0 { Duration::from_millis(self.env.rand_below(60)) } else { RESPONSE_TIMEOUT };
+            if self.send_once(sent, span).await != Heard::Nothing {
                 return;
             }
             self.env.sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    async fn send(&self, (order, identity): &Sent, span: Duration) -> Heard {
+    async fn send_once(&self, (order, identity): &SentOrder, span: Duration) -> Heard {
         let call = self.env.now();
         let heard = match order.send(&self.env, self.any_node(), span).await {
             Some((200, _)) => Heard::Taken,
@@ -136,9 +136,9 @@
         heard
     }
 
-    async fn read(&self) -> Option<Read> {
+    async fn read_configuration(&self) -> Option<Read> {
         let call = self.env.now();
-        let out = read_back(&self.env, self.any_node(), PATIENCE).await?;
+        let out = read_back(&self.env, self.any_node(), RESPONSE_TIMEOUT).await?;
         let read = Read { number: out.number, mark: out.mark, call, done: self.env.now() };
         self.history.borrow_mut().reads.push(read.clone());
         Some(read)
--- a/kit/src/sim/hall.rs
+++ b/kit/src/sim/platform_deployment.rs
@@ -47,18 +47,18 @@
 pub const AREAS: [&str; 3] = ["north", "mid", "south"];
 
 #[derive(Clone)]
-enum What {
-    Hub { text: String },
-    Spoke { text: String },
+enum ProcessKind {
+    ControlNode { text: String },
+    Node { text: String },
     Server(Setup),
     Duty(SocketAddr),
-    Desk,
+    ClientHost,
 }
 
-struct Proc {
+struct Process {
     host: usize,
-    what: What,
-    leave: Rc<std::cell::Cell<bool>>,
+    kind: ProcessKind,
+    shutdown: Rc<std::cell::Cell<bool>>,
 }
 
 /// The deployment.
@@ -66,9 +66,9 @@
     pub sim: Rc<Sim>,
     pub bank: Rc<Bank>,
     pub ledger: Rc<Ledger>,
-    build: Build,
-    procs: RefCell<BTreeMap<String, Proc>>,
-    access: Vec<SocketAddr>,
+    options: Build,
+    processes: RefCell<BTreeMap<String, Process>>,
+    access_addresses: Vec<SocketAddr>,
     control: Vec<SocketAddr>,
 }
 
@@ -96,29 +96,29 @@
             sim: Sim::new(seed),
             bank: Bank::new(&groups),
             ledger: Rc::default(),
-            build,
-            procs: RefCell::default(),
-            access: all().map(|(a, m)| addr(&machine(a, m), 8784)).collect(),
+            options: build,
+            processes: RefCell::default(),
+            access_addresses: all().map(|(a, m)| addr(&machine(a, m), 8784)).collect(),
             control: all().filter(|(_, m)| *m < build.hubs).map(|(a, m)| addr(&machine(a, m), 8782)).collect(),
         });
-        let add = |name: &str, area: &str, what: What| {
+        let add = |name: &str, area: &str, what: ProcessKind| {
             let host = me.sim.host(name, area);
-            me.procs.borrow_mut().insert(name.into(), Proc { host, what, leave: Rc::default() });
+            me.processes.borrow_mut().insert(name.into(), Process { host, kind: what, shutdown: Rc::default() });
         };
-        add("duty", "duty", What::Duty(place));
-        add("desk", "desk", What::Desk);
+        add("duty", "duty", ProcessKind::Duty(place));
+        add("desk", "desk", ProcessKind::ClientHost);
         for (a, m) in all() {
             let name = format!("{}{m}", AREAS[a]);
             let text = listed(settings(&name, &machine(a, m), AREAS[a], &seeds, place, m < build.hubs));
             if m < build.hubs {
                 let hub = if m == 0 { format!("h{a}") } else { format!("h{a}{m}") };
-                add(&hub, AREAS[a], What::Hub { text: text.clone() });
+                add(&hub, AREAS[a], ProcessKind::ControlNode { text: text.clone() });
             }
-            add(&format!("n{a}{m}"), AREAS[a], What::Spoke { text });
+            add(&format!("n{a}{m}"), AREAS[a], ProcessKind::Node { text });
         }
         // An empty machine that may take the place of another control node, at an address that nobody was told.
         let text = listed(settings("spare", "10.2.0.200", AREAS[1], &seeds, place, true));
-        add("hx", AREAS[1], What::Hub { text });
+        add("hx", AREAS[1], ProcessKind::ControlNode { text });
         for (g, (group, servers)) in groups.iter().enumerate() {
             for (i, s) in servers.iter().enumerate() {
                 // Each group's first leader stands in another area.
@@ -134,16 +134,16 @@
                     work: Duration::from_millis(3),
                     lag: Duration::from_millis(15),
                 };
-                add(s, AREAS[area], What::Server(setup));
+                add(s, AREAS[area], ProcessKind::Server(setup));
             }
         }
         if let Some(s) = build.silent {
             me.bank.copy(s, |c| c.silent = true);
         }
-        let names: Vec<String> = me.procs.borrow().keys().cloned().collect();
+        let names: Vec<String> = me.processes.borrow().keys().cloned().collect();
         for n in &names {
             if n == "hx" && !build.fourth {
-                me.sim.kill(me.procs.borrow()[n].host, false);
+                me.sim.kill(me.processes.borrow()[n].host, false);
             } else {
                 me.launch(n);
             }
@@ -153,24 +153,24 @@
 
     fn launch(&self, name: &str) {
         let (host, what, leave) = {
-            let mut procs = self.procs.borrow_mut();
+            let mut procs = self.processes.borrow_mut();
             let p = procs.get_mut(name).expect("a process of the hall");
-            p.leave = Rc::default();
-            (p.host, p.what.clone(), p.leave.clone())
+            p.shutdown = Rc::default();
+            (p.host, p.kind.clone(), p.shutdown.clone())
         };
         let env = self.sim.env(host);
-        let boot = self.sim.hosts.borrow()[host].boot;
-        let (bank, build) = (self.bank.clone(), self.build);
+        let boot = self.sim.hosts.borrow()[host].boot_id;
+        let (bank, build) = (self.bank.clone(), self.options);
         let asked = async move |env: &base::Env| {
             while !leave.get() {
                 env.sleep(Duration::from_millis(20)).await;
             }
         };
         let task: std::pin::Pin<Box<dyn Future<Output = ()>>> = match what {
-            What::Desk => return,
-            What::Duty(at) => Box::pin(duty(env, bank, at, Duration::from_millis(500))),
-            What::Server(setup) => Box::pin(serve(env, bank, setup)),
-            What::Hub { text } => Box::pin(async move {
+            ProcessKind::ClientHost => return,
+            ProcessKind::Duty(at) => Box::pin(duty(env, bank, at, Duration::from_millis(500))),
+            ProcessKind::Server(setup) => Box::pin(serve(env, bank, setup)),
+            ProcessKind::ControlNode { text } => Box::pin(async move {
                 let given = platform::read(&text, true).expect("settings");
                 let place = given.set.check().expect("settings");
                 let node = match hub::PlatformHub::start(&env, &given, &place, build.hub).await {
@@ -181,7 +181,7 @@
                 node.leave().await;
                 env.abort_process("ended as asked");
             }),
-            What::Spoke { text } => Box::pin(async move {
+            ProcessKind::Node { text } => Box::pin(async move {
                 let given = platform::read(&text, false).expect("settings");
                 let place = given.set.check().expect("settings");
                 let node = match spoke::PlatformSpoke::start(&env, &given, &place, build.spoke).await {
@@ -204,16 +204,16 @@
             name: format!("{kind}{g}"),
             group: format!("g{g}"),
             stale: ms.map(Duration::from_millis),
-            nodes: self.access.clone(),
+            nodes: self.access_addresses.clone(),
             pause: Duration::from_millis(25),
             until,
         };
-        (0..self.build.groups).flat_map(|g| kinds.iter().map(move |k| one(g, *k))).collect()
+        (0..self.options.groups).flat_map(|g| kinds.iter().map(move |k| one(g, *k))).collect()
     }
 
     /// The world as the operators' desk sees it.
     pub fn desk(&self) -> base::Env {
-        self.sim.env(self.procs.borrow()["desk"].host)
+        self.sim.env(self.processes.borrow()["desk"].host)
     }
 
     /// Where servers and operators come.
@@ -223,13 +223,13 @@
 
     /// Starts a task at the desk; it goes on by itself.
     pub fn to_desk(&self, task: impl Future<Output = ()> + 'static) {
-        let host = self.procs.borrow()["desk"].host;
-        self.sim.spawn(host, self.sim.hosts.borrow()[host].boot, Box::pin(task));
+        let host = self.processes.borrow()["desk"].host;
+        self.sim.spawn(host, self.sim.hosts.borrow()[host].boot_id, Box::pin(task));
     }
 
     /// Sends the first configuration, and waits until it is acknowledged.
     pub fn open(&self) {
-        let env = self.sim.env(self.procs.borrow()["desk"].host);
+        let env = self.sim.env(self.processes.borrow()["desk"].host);
         let (nodes, plans) = (self.control.clone(), self.plans(Duration::ZERO));
         let done = Rc::new(std::cell::Cell::new(false));
         let told = done.clone();
@@ -246,7 +246,7 @@
 
     /// Starts callers; they end by themselves.
     pub fn drive(&self, each: usize, span: Duration) {
-        let host = self.procs.borrow()["desk"].host;
+        let host = self.processes.borrow()["desk"].host;
         for plan in self.plans(span) {
             for _ in 0..each {
                 let task = drive(self.sim.env(host), self.ledger.clone(), plan.clone());
@@ -257,19 +257,19 @@
 
     /// The processes that a word of a timeline is about: one, an area, a group's leader (`lead0`), all of them (`all`), or
     /// those of the product itself (`machines`).
-    fn meant(&self, name: &str) -> Vec<String> {
+    fn resolve_processes(&self, name: &str) -> Vec<String> {
         if let Some(g) = name.strip_prefix("lead") {
             return vec![self.bank.leader(&format!("g{g}"))];
         }
-        let procs = self.procs.borrow();
+        let procs = self.processes.borrow();
         if procs.contains_key(name) {
             return vec![name.into()];
         }
-        let own = |p: &Proc| matches!(p.what, What::Hub { .. } | What::Spoke { .. });
-        let inside = |n: &str, p: &Proc| match name {
+        let own = |p: &Process| matches!(p.kind, ProcessKind::ControlNode { .. } | ProcessKind::Node { .. });
+        let inside = |n: &str, p: &Process| match name {
             "all" => true,
             "machines" => own(p) && n != "hx",
-            area => self.sim.hosts.borrow()[p.host].area == area,
+            area => self.sim.hosts.borrow()[p.host].zone == area,
         };
         let outer = |n: &String| !["duty", "desk"].contains(&n.as_str());
         procs.iter().filter(|(n, p)| inside(n, p) && outer(n)).map(|(n, _)| n.clone()).collect()
@@ -278,23 +278,23 @@
     /// Carries out one word: `kill`, `dark`, `start`, `freeze`, `thaw`, `leave`, `wipe`, `deaf`, `hear`, `mute`, `loud`,
     /// `silent` and `tell` (heartbeats), `drain`, `shut` and `open` (takes no new sessions), `quit` (leaves in order and ends), `cut>NAME` (one way), `part>NAME`, `heal>NAME`.
     pub fn act(&self, name: &str, word: &str) {
-        let all = self.meant(name);
-        let host = |n: &str| self.procs.borrow()[n].host;
+        let all = self.resolve_processes(name);
+        let host = |n: &str| self.processes.borrow()[n].host;
         if let Some((way, to)) = word.split_once('>') {
-            let real = |n: &str| if n.starts_with("lead") { self.meant(n).remove(0) } else { n.to_string() };
+            let real = |n: &str| if n.starts_with("lead") { self.resolve_processes(n).remove(0) } else { n.to_string() };
             let (from, to) = (real(name), real(to));
             match way {
-                "cut" => self.sim.net.cut(&from, &to),
+                "cut" => self.sim.net.cut_path(&from, &to),
                 "part" => {
-                    self.sim.net.cut(&from, &to);
-                    self.sim.net.cut(&to, &from);
+                    self.sim.net.cut_path(&from, &to);
+                    self.sim.net.cut_path(&to, &from);
                 }
                 _ => {
-                    self.sim.net.heal(&self.sim, &from, &to);
-                    self.sim.net.heal(&self.sim, &to, &from);
+                    self.sim.net.heal_path(&self.sim, &from, &to);
+                    self.sim.net.heal_path(&self.sim, &to, &from);
                 }
             }
-            self.sim.say(&format!("{from} {way} {to}"));
+            self.sim.log_event(&format!("{from} {way} {to}"));
             return;
         }
         for n in &all {
@@ -313,7 +313,7 @@
                 "start" => {}
                 "freeze" => self.sim.freeze(host(n)),
                 "thaw" => self.sim.thaw(host(n)),
-                "leave" => self.procs.borrow()[n].leave.set(true),
+                "leave" => self.processes.borrow()[n].shutdown.set(true),
                 "deaf" => drop(self.bank.copy(n, |c| c.deaf = true)),
                 "hear" => drop(self.bank.copy(n, |c| c.deaf = false)),
                 "mute" => drop(self.bank.copy(n, |c| c.mute = 20)),
@@ -323,7 +323,7 @@
                 "shut" => drop(self.bank.copy(n, |c| c.shut = true)),
                 "open" => drop(self.bank.copy(n, |c| c.shut = false)),
                 "quit" => {
-                    let env = self.sim.env(self.procs.borrow()["desk"].host);
+                    let env = self.sim.env(self.processes.borrow()["desk"].host);
                     let (nodes, name) = (self.control.clone(), n.clone());
                     self.to_desk(async move {
                         platform::stand::quit(&env, &nodes, &name).await;
--- a/kit/src/sim/swarm.rs
+++ b/kit/src/sim/randomized_run.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-use super::{Build, DisabledGuards, KINDS, Town, harm::harm};
+use super::{Build, DisabledGuards, KINDS, Town, fault_injection::inject_fault};
 use crate::load::{End, Event, GAVE_UP};
 
 /// What one seed came to.
@@ -32,18 +32,18 @@
 }
 
 /// How soon after it was meant to be sent a request must be answered to count as served.
-const PROMPT: Duration = Duration::from_secs(1);
+const SERVED_WITHIN: Duration = Duration::from_secs(1);
 /// From how long after machines returned service must be up.
-const BACK: u64 = 12;
+const RECOVERY_BOUND_S: u64 = 12;
 /// How long after the end of a fault everything must be served again.
-const REST: Duration = Duration::from_secs(6);
+const FAULT_SETTLE_TIME: Duration = Duration::from_secs(6);
 
-fn good(e: &Event) -> bool {
-    e.end == End::Good && e.done - e.meant <= PROMPT
+fn was_served(e: &Event) -> bool {
+    e.end == End::Good && e.done - e.meant <= SERVED_WITHIN
 }
 
-fn share<'a>(events: impl Iterator<Item = &'a Event>) -> (f64, usize) {
-    let list: Vec<bool> = events.filter(|e| e.end != End::Left && e.note != GAVE_UP).map(good).collect();
+fn served_share<'a>(events: impl Iterator<Item = &'a Event>) -> (f64, usize) {
+    let list: Vec<bool> = events.filter(|e| e.end != End::Left && e.note != GAVE_UP).map(was_served).collect();
     (list.iter().filter(|g| **g).count() as f64 / list.len().max(1) as f64, list.len())
 }
 
@@ -64,24 +64,24 @@
     let kinds: Vec<&str> = match draw {
         Draw::Only(k) => vec![k],
         Draw::Pair(a, b) => vec![a, b],
-        Draw::Any => KINDS.iter().map(|k| k.0).filter(|_| town.roll(4) == 0).collect(),
+        Draw::Any => KINDS.iter().map(|k| k.0).filter(|_| town.fault_rand_below(4) == 0).collect(),
     };
-    if draw == Draw::Any && town.roll(3) == 0 {
-        for n in town.names().into_iter().filter(|n| n != "desk") {
-            town.drift(&n, 980_000 + town.roll(40_000));
+    if draw == Draw::Any && town.fault_rand_below(3) == 0 {
+        for n in town.process_names().into_iter().filter(|n| n != "desk") {
+            town.set_clock_rate(&n, 980_000 + town.fault_rand_below(40_000));
         }
     }
     let span = Duration::from_secs(30);
     let start = sim.now();
     town.drive(sessions, rate, span);
-    let areas = draw == Draw::Any && town.roll(2) == 0;
+    let areas = draw == Draw::Any && town.fault_rand_below(2) == 0;
     town.operate(areas, span);
     let mut faults: Vec<(Duration, Duration)> = Vec::new();
     let mut hurt = |kind: &str| {
         let from = sim.now();
-        let done = harm(&town, kind);
-        script.push(format!("{:.1} {kind} {}", (from - start).as_secs_f64(), done.text));
-        faults.push((from, from + done.span + REST));
+        let done = inject_fault(&town, kind);
+        script.push(format!("{:.1} {kind} {}", (from - start).as_secs_f64(), done.target));
+        faults.push((from, from + done.duration + FAULT_SETTLE_TIME));
     };
     match draw {
         Draw::Only(k) => (0..3).for_each(|_| {
@@ -89,52 +89,52 @@
             hurt(k);
         }),
         Draw::Pair(a, b) => (0..3).for_each(|i| {
-            sim.pass(Duration::from_millis(4000 + town.roll(3000)));
+            sim.pass(Duration::from_millis(4000 + town.fault_rand_below(3000)));
             hurt(if i == 1 { b } else { a });
-            sim.pass(Duration::from_millis(town.roll(2500)));
+            sim.pass(Duration::from_millis(town.fault_rand_below(2500)));
             hurt(if i == 1 { a } else { b });
         }),
         Draw::Any => {
             // One run in three has faults thick and fast, most of them on top of others.
-            let (count, rest) = if town.roll(3) == 0 { (10 + town.roll(15), 2000) } else { (3 + town.roll(6), 5000) };
+            let (count, rest) = if town.fault_rand_below(3) == 0 { (10 + town.fault_rand_below(15), 2000) } else { (3 + town.fault_rand_below(6), 5000) };
             for _ in 0..count {
-                sim.pass(Duration::from_millis(200 + town.roll(rest)));
+                sim.pass(Duration::from_millis(200 + town.fault_rand_below(rest)));
                 if sim.now() > start + span || kinds.is_empty() {
                     break;
                 }
-                hurt(kinds[town.roll(kinds.len() as u64) as usize]);
+                hurt(kinds[town.fault_rand_below(kinds.len() as u64) as usize]);
             }
         }
     }
     sim.run(start + span, &|| false);
     let blow = sim.now();
     script.push(format!("{:.1} last blow", (blow - start).as_secs_f64()));
-    for n in town.names().into_iter().filter(|n| n != "desk" && n != "platform") {
-        if town.roll(2) == 0 {
-            town.dark(&n);
+    for n in town.process_names().into_iter().filter(|n| n != "desk" && n != "platform") {
+        if town.fault_rand_below(2) == 0 {
+            town.power_off(&n);
         } else {
             town.kill(&n);
         }
     }
-    sim.pass(Duration::from_secs(1 + town.roll(3)));
+    sim.pass(Duration::from_secs(1 + town.fault_rand_below(3)));
     town.mend();
     let mended = sim.now();
-    town.drive(sessions, rate, Duration::from_secs(BACK + 5));
-    sim.pass(Duration::from_secs(BACK + 12));
+    town.drive(sessions, rate, Duration::from_secs(RECOVERY_BOUND_S + 5));
+    sim.pass(Duration::from_secs(RECOVERY_BOUND_S + 12));
     findings.extend(town.findings());
     let events = town.history.events.borrow();
-    let (during, _) = share(events.iter().filter(|e| e.meant < blow));
-    let (after, _) = share(events.iter().filter(|e| e.meant >= mended + Duration::from_secs(BACK)));
-    let seconds: Vec<f64> = (0..BACK + 5)
+    let (during, _) = served_share(events.iter().filter(|e| e.meant < blow));
+    let (after, _) = served_share(events.iter().filter(|e| e.meant >= mended + Duration::from_secs(RECOVERY_BOUND_S)));
+    let seconds: Vec<f64> = (0..RECOVERY_BOUND_S + 5)
         .map(|s| {
             let (from, to) = (mended + Duration::from_secs(s), mended + Duration::from_secs(s + 1));
-            share(events.iter().filter(|e| e.meant >= from && e.meant < to)).0
+            served_share(events.iter().filter(|e| e.meant >= from && e.meant < to)).0
         })
         .collect();
     let back = seconds.iter().rposition(|s| *s < 0.9).map_or(0, |at| at as u64 + 1);
-    if back > BACK {
+    if back > RECOVERY_BOUND_S {
         let list: Vec<String> = seconds.iter().map(|s| format!("{:.0}", s * 100.0)).collect();
-        findings.push(format!("service was not back {BACK} s after machines returned: {} %", list.join(" ")));
+        findings.push(format!("service was not back {RECOVERY_BOUND_S} s after machines returned: {} %", list.join(" ")));
     }
     if let Draw::Only(k) = draw {
         let floor = KINDS.iter().find(|x| x.0 == k).map_or(0.0, |x| x.1);
@@ -144,10 +144,10 @@
     }
     // Where no fault is on, nor was lately, nearly all is served: by database, and by the area of the node.
     let quiet = |e: &&Event| {
-        e.meant < blow - PROMPT * 2
+        e.meant < blow - SERVED_WITHIN * 2
             && !e.note.contains("\"emptied\"")
             && !areas
-            && faults.iter().all(|(from, to)| e.meant + PROMPT < *from || e.meant > *to)
+            && faults.iter().all(|(from, to)| e.meant + SERVED_WITHIN < *from || e.meant > *to)
     };
     let home: BTreeMap<&str, &str> = town.layout.spokes.iter().map(|m| (m.name.as_str(), m.area.as_str())).collect();
     let mut parts: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
@@ -156,7 +156,7 @@
         parts.entry(format!("area {}", home.get(e.node.as_str()).unwrap_or(&"none"))).or_default().push(e);
     }
     for (name, list) in parts {
-        let (part, count) = share(list.iter().copied());
+        let (part, count) = served_share(list.iter().copied());
         if count >= 40 && part < 0.95 {
             findings.push(format!("{:.1} % of {count} answered while nothing was wrong: {name}", part * 100.0));
         }
--- a/kit/src/sim/world.rs
+++ b/kit/src/sim/runtime.rs
@@ -3,25 +3,25 @@
 use base::runtime::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
 use super::{
-    core::{Due, Line, Sim, scale},
-    disk::Drive,
+    core::{TimerEvent, Line, Sim, scale_duration},
+    disk::SimDisk,
 };
 
 /// One run of one simulated process.
-pub(super) struct Place {
+pub(super) struct HostRuntime {
     pub sim: Rc<Sim>,
     pub host: usize,
-    pub boot: u64,
+    pub boot_id: u64,
 }
 
-impl Place {
-    fn rate(&self) -> u64 {
-        self.sim.hosts.borrow()[self.host].rate
+impl HostRuntime {
+    fn clock_rate_ppm(&self) -> u64 {
+        self.sim.hosts.borrow()[self.host].clock_rate_ppm
     }
 }
 
 /// Waits for a span of the world's own time.
-pub(super) async fn rest(sim: &Rc<Sim>, span: Duration) {
+pub(super) async fn sleep_sim_time(sim: &Rc<Sim>, span: Duration) {
     let end = sim.now() + span;
     let set = RefCell::new(false);
     poll_fn(|cx| {
@@ -29,27 +29,27 @@
             return Poll::Ready(());
         }
         if !set.replace(true) {
-            sim.at(end, Due::Wake(cx.waker().clone()));
+            sim.schedule(end, TimerEvent::Wake(cx.waker().clone()));
         }
         Poll::Pending
     })
     .await
 }
 
-impl Runtime for Place {
+impl Runtime for HostRuntime {
     fn now(&self) -> Duration {
-        self.sim.hosts.borrow()[self.host].local(self.sim.now())
+        self.sim.hosts.borrow()[self.host].local_time(self.sim.now())
     }
 
     fn sleep(&self, span: Duration) -> LocalFuture<()> {
         let sim = self.sim.clone();
-        let span = scale(span, 1_000_000, self.rate());
+        let span = scale_duration(span, 1_000_000, self.clock_rate_ppm());
         // Rounded up, so that a clock that runs slow has reached the end when it wakes.
-        Box::pin(async move { rest(&sim, span + Duration::from_nanos(2)).await })
+        Box::pin(async move { sleep_sim_time(&sim, span + Duration::from_nanos(2)).await })
     }
 
     fn spawn(&self, task: LocalFuture<()>) {
-        self.sim.spawn(self.host, self.boot, task);
+        self.sim.spawn(self.host, self.boot_id, task);
     }
 
     fn rand(&self) -> u64 {
@@ -57,7 +57,7 @@
     }
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>> {
-        let (sim, host, boot) = (self.sim.clone(), self.host, self.boot);
+        let (sim, host, boot) = (self.sim.clone(), self.host, self.boot_id);
         Box::pin(async move { sim.net.listen(host, boot, addr) })
     }
 
@@ -67,19 +67,19 @@
     }
 
     fn disk(&self) -> Option<Rc<dyn Disk>> {
-        Some(Rc::new(Drive { sim: self.sim.clone(), files: self.sim.files(self.host) }))
+        Some(Rc::new(SimDisk { sim: self.sim.clone(), files: self.sim.files(self.host) }))
     }
 
     fn log(&self, part: Component, text: &str) {
         let who = self.sim.hosts.borrow()[self.host].name.clone();
-        self.sim.lines.borrow_mut().push(Line { at: self.sim.now(), who, part, text: text.into() });
+        self.sim.log_lines.borrow_mut().push(Line { at: self.sim.now(), who, part, text: text.into() });
     }
 
     fn abort_process(&self, text: &str) {
         self.log(Component::Main, text);
-        let (host, boot) = (self.host, self.boot);
-        self.sim.later(Duration::ZERO, move |sim| {
-            if sim.hosts.borrow()[host].boot == boot {
+        let (host, boot) = (self.host, self.boot_id);
+        self.sim.schedule_action(Duration::ZERO, move |sim| {
+            if sim.hosts.borrow()[host].boot_id == boot {
                 sim.kill(host, false);
             }
         });
--- a/kit/src/sim/timeline.rs
+++ b/kit/src/sim/timeline.rs
@@ -53,18 +53,18 @@
     if real.is_empty() {
         return;
     }
-    let all = if town.layout.areas.contains(&real) { town.area(&real) } else { vec![real.clone()] };
+    let all = if town.layout.areas.contains(&real) { town.processes_in_zone(&real) } else { vec![real.clone()] };
     let ways = |list: &str, f: &dyn Fn(&str)| list.split(',').for_each(f);
     if let Some(to) = word.strip_prefix("cut>") {
-        return ways(to, &|to| town.cut(&real, to));
+        return ways(to, &|to| town.cut_path(&real, to));
     }
     if let Some(to) = word.strip_prefix("part>") {
-        return ways(to, &|to| town.part(&real, to));
+        return ways(to, &|to| town.cut_both_paths(&real, to));
     }
     if let Some(to) = word.strip_prefix("heal>") {
         return ways(to, &|to| {
-            town.heal(&real, to);
-            town.heal(to, &real);
+            town.heal_path(&real, to);
+            town.heal_path(to, &real);
         });
     }
     let server = |f: &dyn Fn(&crate::server::Server)| {
@@ -73,7 +73,7 @@
     match word {
         "." => {}
         "kill" => all.iter().for_each(|n| town.kill(n)),
-        "dark" => all.iter().for_each(|n| town.dark(n)),
+        "dark" => all.iter().for_each(|n| town.power_off(n)),
         "start" => all.iter().for_each(|n| town.start(n)),
         "freeze" => all.iter().for_each(|n| town.freeze(n)),
         "thaw" => all.iter().for_each(|n| town.thaw(n)),
@@ -83,15 +83,15 @@
         }),
         "short" => all.iter().for_each(|n| {
             town.kill(n);
-            town.shorten(n);
+            town.restore_older_copy(n);
         }),
         "rot" => all.iter().for_each(|n| {
             town.kill(n);
-            town.rot(n, "");
+            town.corrupt_files(n, "");
         }),
-        "full" => all.iter().for_each(|n| town.fill(n, true)),
-        "room" => all.iter().for_each(|n| town.fill(n, false)),
-        "reset" => all.iter().for_each(|n| town.reset(n)),
+        "full" => all.iter().for_each(|n| town.set_disk_full(n, true)),
+        "room" => all.iter().for_each(|n| town.set_disk_full(n, false)),
+        "reset" => all.iter().for_each(|n| town.reset_connections(n)),
         "mute" => server(&|s| s.mute.set(2)),
         "late" => server(&|s| s.late.set(4)),
         "sick" => server(&|s| s.sick.set(true)),
@@ -101,24 +101,24 @@
         "drain" => server(&|s| s.draining.set(true)),
         "drained" => server(&|s| s.draining.set(false)),
         "leave" => all.iter().for_each(|n| town.leave(n)),
-        "fast" => all.iter().for_each(|n| town.drift(n, 1_040_000)),
-        "slow" => all.iter().for_each(|n| town.drift(n, 960_000)),
+        "fast" => all.iter().for_each(|n| town.set_clock_rate(n, 1_040_000)),
+        "slow" => all.iter().for_each(|n| town.set_clock_rate(n, 960_000)),
         "odd" | "even" => all.iter().for_each(|n| {
             town.kill(n);
-            town.odd(n, word == "odd");
+            town.set_long_bounds(n, word == "odd");
             town.start(n);
         }),
-        "cut-short" | "thrice" => town.guest(&real, word == "thrice"),
-        "join" => all.iter().for_each(|n| town.member(n, true)),
-        "quit" => all.iter().for_each(|n| town.member(n, false)),
-        "wish" => all.iter().for_each(|n| town.handover(n)),
-        "empty" | "back" => operator_area(town, &real, word == "empty"),
+        "cut-short" | "thrice" => town.send_malformed_request(&real, word == "thrice"),
+        "join" => all.iter().for_each(|n| town.change_membership(n, true)),
+        "quit" => all.iter().for_each(|n| town.change_membership(n, false)),
+        "wish" => all.iter().for_each(|n| town.request_handover(n)),
+        "empty" | "back" => set_evacuation(town, &real, word == "empty"),
         "mend" => town.mend(),
         other => panic!("no such word in a timeline: {other}"),
     }
 }
 
-fn operator_area(town: &Rc<Town>, area: &str, empty: bool) {
+fn set_evacuation(town: &Rc<Town>, area: &str, empty: bool) {
     let (env, layout, words) = (town.desk(), town.layout.clone(), town.words.clone());
     if !empty {
         words.taken_back(area, env.now());
@@ -138,7 +138,7 @@
             env.sleep(Duration::from_millis(200)).await;
         }
     });
-    town.sim.say(&format!("operator: {area} {} {}", if empty { "emptied" } else { "taken back" }, done.is_some()));
+    town.sim.log_event(&format!("operator: {area} {} {}", if empty { "emptied" } else { "taken back" }, done.is_some()));
 }
 
 /// The log of a run, a column for each process that spoke.
