--- a/kit/src/sim/deployment/client_host.rs
+++ b/kit/src/sim/deployment/client_host.rs
@@ -1,3 +1,5 @@
+//! What runs on the simulated host of clients and operators: load, configuration changes, evacuations, membership changes.
+
 use std::{
     cell::{Cell, RefCell},
     net::SocketAddr,
@@ -12,16 +14,16 @@
 };
 
 impl Town {
-    /// Starts a task at the desk; it goes on by itself.
+    /// Starts a task on the host of clients and operators, and returns at once.
     pub fn spawn_at_desk(&self, task: impl Future<Output = ()> + 'static) {
         let host = self.host("desk");
-        let boot = self.sim.hosts.borrow()[host].boot_id;
-        self.sim.spawn(host, boot, Box::pin(task));
+        let boot_id = self.sim.hosts.borrow()[host].boot_id;
+        self.sim.spawn(host, boot_id, Box::pin(task));
     }
 
-    /// A caller at a node who is cut off in the middle of a body, or whose attempt arrives three times.
+    /// Sends a node the same attempt three times if `thrice`, otherwise a request whose connection ends within the body.
     pub fn send_malformed_request(&self, node: &str, thrice: bool) {
-        let Some(node) = self.layout.nodes().into_iter().find(|n| n.name == node) else { return };
+        let Some(node) = self.layout.nodes().into_iter().find(|candidate| candidate.name == node) else { return };
         let (env, history) = (self.desk(), self.history.clone());
         self.spawn_at_desk(async move {
             if thrice {
@@ -32,37 +34,42 @@
         });
     }
 
-    /// An operator reads the set back at some node and sends a change against it; answered or not.
+    /// Reads the configuration from a random node, and sends a change based on it to the same node. Gives up if either
+    /// request fails. `text` holds the members of the change's JSON object besides `after`.
     pub fn request_configuration_change(&self, text: &str) {
         let (env, layout, text) = (self.desk(), self.layout.clone(), text.to_string());
-        self.sim.log_event(&format!("operator: change {text}"));
+        self.sim.log_event(&format!("operator: changes the configuration: {text}"));
         self.spawn_at_desk(async move {
-            let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
-            let Some(out) = crate::fleet::ask(&env, at, "GET", "/ops/doorways", "").await else { return };
-            let Ok(set) = base::strict::read::<base::edge::operator::ConfigurationView>(&out.body) else { return };
-            let body = format!("{{\"after\":{},{text}}}", set.sequence);
-            let _ = crate::fleet::ask(&env, at, "PATCH", "/ops/doorways", &body).await;
+            let address = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
+            let Some(response) = crate::fleet::ask(&env, address, "GET", "/ops/doorways", "").await else { return };
+            let Ok(configuration) = base::strict::read::<base::edge::operator::ConfigurationView>(&response.body)
+            else {
+                return;
+            };
+            let body = format!("{{\"after\":{},{text}}}", configuration.sequence);
+            let _ = crate::fleet::ask(&env, address, "PATCH", "/ops/doorways", &body).await;
         });
     }
 
-    /// An operator empties an area for a span and takes it back, at whatever node answers.
-    pub fn evacuate_zone(&self, area: &str, span: Duration) {
-        let (env, layout, words) = (self.desk(), self.layout.clone(), self.words.clone());
-        let area = area.to_string();
-        self.sim.log_event(&format!("operator: empties {area} for a while"));
+    /// Evacuates a zone and withdraws the evacuation after `duration`, each through a random node. The withdrawal is
+    /// repeated every half second, at most 60 times, until a node accepts it.
+    pub fn evacuate_zone(&self, zone: &str, duration: Duration) {
+        let (env, layout, operator_history) = (self.desk(), self.layout.clone(), self.words.clone());
+        let zone = zone.to_string();
+        self.sim.log_event(&format!("operator: evacuates {zone}"));
         self.spawn_at_desk(async move {
-            let say = async |word: &str| {
-                let at = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
-                let path = format!("/ops/areas/{area}/{word}");
-                crate::fleet::ask(&env, at, "POST", &path, "").await.is_some_and(|r| r.status == 200)
+            let request = async |action: &str| {
+                let address = layout.spokes[env.rand_below(layout.spokes.len() as u64) as usize].http;
+                let path = format!("/ops/areas/{zone}/{action}");
+                crate::fleet::ask(&env, address, "POST", &path, "").await.is_some_and(|r| r.status == 200)
             };
-            if say("empty").await {
-                words.emptied(&area, env.now(), Duration::from_secs(5));
+            if request("empty").await {
+                operator_history.emptied(&zone, env.now(), Duration::from_secs(5));
             }
-            env.sleep(span).await;
-            words.taken_back(&area, env.now());
+            env.sleep(duration).await;
+            operator_history.taken_back(&zone, env.now());
             for _ in 0..60 {
-                if say("take-back").await {
+                if request("take-back").await {
                     return;
                 }
                 env.sleep(Duration::from_millis(500)).await;
@@ -70,46 +77,47 @@
         });
     }
 
-    /// The environment of the callers' and operators' desk.
+    /// The environment of the host of clients and operators.
     pub fn desk(&self) -> base::Env {
         self.sim.env(self.host("desk"))
     }
 
-    /// Runs a task at the desk until it has ended or the span is over.
-    pub fn at_desk<T: 'static>(&self, most: Duration, task: impl Future<Output = T> + 'static) -> Option<T> {
-        let out = Rc::new(RefCell::new(None));
-        let slot = out.clone();
+    /// Runs a task on the host of clients and operators, and returns its result, or `None` if it takes longer than
+    /// `timeout` in simulated time.
+    pub fn at_desk<T: 'static>(&self, timeout: Duration, task: impl Future<Output = T> + 'static) -> Option<T> {
+        let result = Rc::new(RefCell::new(None));
+        let task_result = result.clone();
         self.spawn_at_desk(async move {
-            let v = task.await;
-            *slot.borrow_mut() = Some(v);
+            let value = task.await;
+            *task_result.borrow_mut() = Some(value);
         });
-        let seen = out.clone();
-        self.sim.run(self.sim.now() + most, &move || seen.borrow().is_some());
-        out.take()
+        let polled_result = result.clone();
+        self.sim.run(self.sim.now() + timeout, &move || polled_result.borrow().is_some());
+        result.take()
     }
 
-    /// Puts the standard doorway set and waits until all serve.
-    pub fn settle(&self, most: Duration) -> Result<(), String> {
+    /// Sends the standard configuration, and waits until every node serves. Fails if that takes longer than `timeout`.
+    pub fn settle(&self, timeout: Duration) -> Result<(), String> {
         let (env, layout) = (self.desk(), self.layout.clone());
-        let out = self.at_desk(most, async move {
-            crate::fleet::configure(&env, &layout, most).await?;
-            crate::fleet::ready(&env, &layout, most).await
+        let result = self.at_desk(timeout, async move {
+            crate::fleet::configure(&env, &layout, timeout).await?;
+            crate::fleet::ready(&env, &layout, timeout).await
         });
-        out.unwrap_or(Err("the town did not settle in time".into()))
+        result.unwrap_or(Err("the deployment did not serve in time".into()))
     }
 
-    /// Starts load at the desk; it ends by itself.
-    pub fn drive(&self, sessions: usize, rate: f64, span: Duration) {
-        self.start_load_in_zone("", sessions, rate, span);
+    /// Starts clients of all zones: `sessions` sessions that send `rate` requests a second together, for `duration`.
+    pub fn drive(&self, sessions: usize, rate: f64, duration: Duration) {
+        self.start_load_in_zone("", sessions, rate, duration);
     }
 
-    /// The same, with all callers in one area; everywhere if it has no name.
-    pub fn start_load_in_zone(&self, area: &str, sessions: usize, rate: f64, span: Duration) {
+    /// As [`Town::drive`], with clients of one zone only, or of all zones if `zone` is empty.
+    pub fn start_load_in_zone(&self, zone: &str, sessions: usize, rate: f64, duration: Duration) {
         let plan = Plan {
-            nodes: self.layout.nodes().into_iter().filter(|n| area.is_empty() || n.area == area).collect(),
+            nodes: self.layout.nodes().into_iter().filter(|node| zone.is_empty() || node.area == zone).collect(),
             sessions,
             rate,
-            span,
+            span: duration,
             keys: 8,
             leave: 10,
             patience: Duration::from_secs(5),
@@ -118,71 +126,81 @@
         self.spawn_at_desk(async move { load::run(&env, &plan, &history).await });
     }
 
-    /// Opens so many sessions, spread over the nodes, that say one thing and then nothing.
+    /// Opens `sessions` sessions, spread over the nodes, that send one read each and then stay idle for the rest of the
+    /// run.
     pub fn hold_idle_sessions(&self, sessions: usize) {
         let (env, nodes) = (self.desk(), self.layout.nodes());
         self.spawn_at_desk(async move {
-            let mut all = Vec::new();
+            let mut idle_connections = Vec::new();
             for i in 0..sessions {
-                let at = nodes[i % nodes.len()].addr;
-                let Ok(mut line) = base::http::Client::connect(&env, at, Duration::from_secs(2), 1 << 16).await else {
+                let address = nodes[i % nodes.len()].addr;
+                let Ok(mut connection) =
+                    base::http::Client::connect(&env, address, Duration::from_secs(2), 1 << 16).await
+                else {
                     continue;
                 };
                 let body = bytes::Bytes::from_static(b"{\"op\":\"get\",\"key\":\"k1\"}");
-                let _ = line.call("POST", "/db/stubs/read", &[], body, Duration::from_secs(2)).await;
-                all.push(line);
+                let _ = connection.call("POST", "/db/stubs/read", &[], body, Duration::from_secs(2)).await;
+                idle_connections.push(connection);
             }
             std::future::pending::<()>().await;
         });
     }
 
-    /// Starts an operator and a witness for each node at the desk; they end by themselves.
-    pub fn operate(&self, areas: bool, span: Duration) {
-        let row = |m: &Machine| Node { name: m.name.clone(), area: m.area.clone(), addr: m.http };
-        let me = Rc::new(Operator {
+    /// Starts an operator, and one reader per node that checks which configuration the node serves by. They end after
+    /// `duration`. If `zones`, the operator also evacuates zones.
+    pub fn operate(&self, zones: bool, duration: Duration) {
+        let node =
+            |machine: &Machine| Node { name: machine.name.clone(), area: machine.area.clone(), addr: machine.http };
+        let operator = Rc::new(Operator {
             env: self.desk(),
             nodes: self.layout.nodes(),
-            hubs: self.layout.hubs.iter().map(row).collect(),
+            hubs: self.layout.hubs.iter().map(node).collect(),
             groups: self.layout.homes(),
             words: self.words.clone(),
-            areas,
+            areas: zones,
             empty: Duration::from_secs(5),
         });
         let stop = Rc::new(Cell::new(false));
-        let (m, s) = (me.clone(), stop.clone());
-        self.spawn_at_desk(async move { m.work(&s).await });
-        for n in me.nodes.clone() {
-            let (m, s) = (me.clone(), stop.clone());
-            self.spawn_at_desk(async move { m.witness(&n, &s).await });
+        let (changer, stopped) = (operator.clone(), stop.clone());
+        self.spawn_at_desk(async move { changer.work(&stopped).await });
+        for node in operator.nodes.clone() {
+            let (reader, stopped) = (operator.clone(), stop.clone());
+            self.spawn_at_desk(async move { reader.witness(&node, &stopped).await });
         }
-        self.sim.schedule_action(span, move |_| stop.set(true));
+        self.sim.schedule_action(duration, move |_| stop.set(true));
     }
 
-    /// An operator wishes that a server lead its group; goes to some node, answered or not.
+    /// Requests through a random node that a server become the primary of its group, and ignores the response.
     pub fn request_handover(&self, server: &str) {
         let (env, layout, server) = (self.desk(), self.layout.clone(), server.to_string());
-        self.sim.log_event(&format!("operator: wishes {server} to lead"));
+        self.sim.log_event(&format!("operator: requests that {server} become the primary"));
         self.spawn_at_desk(async move {
-            let at = env.rand_below(layout.spokes.len() as u64) as usize;
+            let index = env.rand_below(layout.spokes.len() as u64) as usize;
             let body = format!("{{\"server\":\"{server}\"}}");
-            let _ = crate::fleet::ask(&env, layout.spokes[at].http, "POST", "/ops/handover", &body).await;
+            let _ = crate::fleet::ask(&env, layout.spokes[index].http, "POST", "/ops/handover", &body).await;
         });
     }
 
-    /// An operator puts a server into its group or takes it out, through some node; answered or not.
+    /// Adds a server to its group, or removes it, through any node that responds. From 3 s after an acknowledged removal
+    /// on, work at the server is a finding.
     pub fn change_membership(&self, server: &str, join: bool) {
-        let Some(s) = self.layout.servers.iter().find(|s| s.name == server) else { return };
+        let Some(machine) = self.layout.servers.iter().find(|s| s.name == server) else { return };
         let (env, closed) = (self.desk(), self.words.closed.clone());
-        let (group, server) = (s.group.clone(), server.to_string());
+        let (group, server) = (machine.group.clone(), server.to_string());
         let nodes: Vec<SocketAddr> = self.layout.spokes.iter().map(|m| m.http).collect();
-        self.sim.log_event(&format!("operator: {server} is to {} {group}", if join { "join" } else { "leave" }));
+        self.sim
+            .log_event(&format!("operator: requests that {server} {} {group}", if join { "join" } else { "leave" }));
         let sim = self.sim.clone();
         if join {
             closed.borrow_mut().remove(&server);
         }
         self.spawn_at_desk(async move {
             let done = crate::fleet::member_somehow(&env, &nodes, &group, &server, join).await;
-            sim.log_event(&format!("operator: {server} {group} {}", if done { "taken" } else { "not taken" }));
+            sim.log_event(&format!(
+                "operator: change of {server} in {group} {}",
+                if done { "accepted" } else { "not accepted" }
+            ));
             if done && !join {
                 closed.borrow_mut().insert(server, env.now() + Duration::from_secs(3));
             }
--- a/kit/src/sim/deployment/launch.rs
+++ b/kit/src/sim/deployment/launch.rs
@@ -1,3 +1,5 @@
+//! Starts the processes of the deployment on their hosts.
+
 use std::rc::Rc;
 
 use base::{
@@ -5,30 +7,30 @@
     settings::{self, NodeConfig},
 };
 
-use super::{Town, ProcessKind};
+use super::{ProcessKind, Town};
 use crate::{
     platform::{Known, Platform},
     server::Server,
 };
 
-/// The checked place of a settings text of the layout's own.
+/// Parses and checks the settings that the layout wrote for a process.
 fn node_config(text: &str) -> NodeConfig {
     settings::read(text.as_bytes()).map(|s| s.check()).expect("settings").expect("settings")
 }
 
-/// What started, or the end of a process that can't start.
-async fn started_or_abort<T, E: std::fmt::Display>(env: &Env, out: Result<T, E>) -> T {
-    match out {
-        Ok(t) => t,
-        Err(e) => {
-            env.abort_process(&e.to_string());
+/// The value of a successful start. On an error the process ends with the error in its log.
+async fn started_or_abort<T, E: std::fmt::Display>(env: &Env, result: Result<T, E>) -> T {
+    match result {
+        Ok(value) => value,
+        Err(error) => {
+            env.abort_process(&error.to_string());
             std::future::pending().await
         }
     }
 }
 
 impl Town {
-    /// Starts a process that is down, with what its disk holds.
+    /// Starts a process that is down, with the files on its disk.
     pub fn start(&self, name: &str) {
         let host = self.host(name);
         if !self.sim.is_up(host) {
@@ -37,90 +39,95 @@
         }
     }
 
+    /// Spawns the main task of a process on its host, which must be up.
     pub(super) fn launch(&self, name: &str) {
         self.start_times.borrow_mut().insert(name.into(), self.sim.now());
-        let (host, what, told) = {
-            let mut procs = self.processes.borrow_mut();
-            let p = procs.get_mut(name).expect("a process of the town");
-            p.signals = Rc::default();
-            (p.host, p.kind.clone(), p.signals.clone())
+        let (host, kind, signals) = {
+            let mut processes = self.processes.borrow_mut();
+            let process = processes.get_mut(name).expect("a process of the deployment");
+            process.signals = Rc::default();
+            (process.host, process.kind.clone(), process.signals.clone())
         };
         let env = self.sim.env(host);
-        let (tricks, layout, ended) = (self.tricks, self.layout.clone(), self.shutdowns.clone());
+        let (disabled, layout, shutdowns) = (self.tricks, self.layout.clone(), self.shutdowns.clone());
         let sim = self.sim.clone();
-        let odd = if self.with_long_bounds.borrow().contains(name) { 20 } else { 1 };
-        let boot = self.sim.hosts.borrow()[host].boot_id;
-        match what {
+        let bound_factor = if self.with_long_bounds.borrow().contains(name) { 20 } else { 1 };
+        let boot_id = self.sim.hosts.borrow()[host].boot_id;
+        match kind {
             ProcessKind::ClientHost => {}
             ProcessKind::Platform => {
-                let known = layout.servers.iter();
-                let known =
-                    known.map(|s| Known { name: s.name.clone(), group: s.group.clone(), addr: s.addr }).collect();
-                let (slot, e) = (self.platform.clone(), env.clone());
+                let servers = layout.servers.iter();
+                let known_servers =
+                    servers.map(|s| Known { name: s.name.clone(), group: s.group.clone(), addr: s.addr }).collect();
+                let (platform, process_env) = (self.platform.clone(), env.clone());
                 self.sim.spawn(
                     host,
-                    boot,
+                    boot_id,
                     Box::pin(async move {
-                        *slot.borrow_mut() = Platform::start(&e, layout.platform, known).await.ok();
+                        *platform.borrow_mut() =
+                            Platform::start(&process_env, layout.platform, known_servers).await.ok();
                         std::future::pending::<()>().await;
                     }),
                 );
             }
             ProcessKind::Server(setup) => {
-                let (slot, e) = (self.servers.clone(), env.clone());
+                let (servers, process_env) = (self.servers.clone(), env.clone());
                 self.sim.spawn(
                     host,
-                    boot,
+                    boot_id,
                     Box::pin(async move {
                         let name = setup.name.clone();
-                        if let Ok(s) = Server::start(&e, setup).await {
-                            slot.borrow_mut().insert(name, s);
+                        if let Ok(server) = Server::start(&process_env, setup).await {
+                            servers.borrow_mut().insert(name, server);
                         }
                         std::future::pending::<()>().await;
                     }),
                 );
             }
-            ProcessKind::ControlNode(m) => {
-                let mut place = node_config(&layout.settings(&m, Some(std::path::Path::new("data"))));
-                place.bounds.blueprint *= odd;
-                let e = env.clone();
+            ProcessKind::ControlNode(machine) => {
+                let mut config = node_config(&layout.settings(&machine, Some(std::path::Path::new("data"))));
+                config.bounds.blueprint *= bound_factor;
+                let process_env = env.clone();
                 self.sim.spawn(
                     host,
-                    boot,
+                    boot_id,
                     Box::pin(async move {
-                        let hub = started_or_abort(&e, hub::run(&e, &place, tricks.hub).await).await;
-                        told.changed.wait_until(|| told.shutdown.get().then_some(())).await;
-                        hub.leave().await;
-                        e.sleep(place.bounds.control_heartbeat()).await;
-                        ended.borrow_mut().push((m.name.clone(), sim.now()));
-                        e.abort_process("ended as asked");
+                        let control_node =
+                            started_or_abort(&process_env, hub::run(&process_env, &config, disabled.hub).await).await;
+                        signals.changed.wait_until(|| signals.shutdown.get().then_some(())).await;
+                        control_node.leave().await;
+                        process_env.sleep(config.bounds.control_heartbeat()).await;
+                        shutdowns.borrow_mut().push((machine.name.clone(), sim.now()));
+                        process_env.abort_process("has shut down as requested");
                         std::future::pending::<()>().await;
                     }),
                 );
             }
-            ProcessKind::Node(m) => {
-                let mut place = node_config(&layout.settings(&m, None));
-                place.policy = self.policy.borrow().clone();
-                place.bounds.blueprint *= odd;
-                let e = env.clone();
+            ProcessKind::Node(machine) => {
+                let mut config = node_config(&layout.settings(&machine, None));
+                config.policy = self.policy.borrow().clone();
+                config.bounds.blueprint *= bound_factor;
+                let process_env = env.clone();
                 self.sim.spawn(
                     host,
-                    boot,
+                    boot_id,
                     Box::pin(async move {
-                        let spoke = started_or_abort(&e, spoke::run(&e, &place, tricks.spoke).await).await;
+                        let node =
+                            started_or_abort(&process_env, spoke::run(&process_env, &config, disabled.spoke).await)
+                                .await;
                         loop {
-                            let seen = told.changed.generation();
-                            if told.shutdown.get() {
+                            let generation = signals.changed.generation();
+                            if signals.shutdown.get() {
                                 break;
                             }
-                            if let Some(p) = told.policy.borrow_mut().take() {
-                                spoke.policy(&p);
+                            if let Some(policy) = signals.policy.borrow_mut().take() {
+                                node.policy(&policy);
                             }
-                            told.changed.changed_since(seen).await;
+                            signals.changed.changed_since(generation).await;
                         }
-                        spoke.leave().await;
-                        ended.borrow_mut().push((m.name.clone(), sim.now()));
-                        e.abort_process("ended as asked");
+                        node.leave().await;
+                        shutdowns.borrow_mut().push((machine.name.clone(), sim.now()));
+                        process_env.abort_process("has shut down as requested");
                         std::future::pending::<()>().await;
                     }),
                 );
--- a/kit/src/sim/deployment/mod.rs
+++ b/kit/src/sim/deployment/mod.rs
@@ -1,10 +1,11 @@
-//! A whole deployment in a simulated world.
+//! A simulated deployment that uses the product's own HTTP protocols: control nodes, nodes, database servers, the
+//! platform, and a host of clients and operators.
 
 mod client_host;
 mod faults;
 mod guards;
-mod verification;
 mod launch;
+mod verification;
 
 pub use guards::DisabledGuards;
 
@@ -26,16 +27,18 @@
     server::{Server, Setup},
 };
 
-/// How a town is built.
+/// Size and timing of a [`Town`].
 #[derive(Clone, Copy, Debug)]
 pub struct Build {
+    /// Number of machines; each runs a node.
     pub machines: usize,
-    /// Connections a server takes.
+    /// Maximum number of connections of a server.
     pub cap: usize,
     /// How long a server takes to warm up.
     pub warm: Duration,
     /// How long a statement takes.
     pub work: Duration,
+    /// Guards that the processes run without.
     pub tricks: DisabledGuards,
 }
 
@@ -46,7 +49,7 @@
     }
 }
 
-/// What a process of the town is told by the platform.
+/// Requests to a running process: to shut down, or to adopt another selection policy.
 #[derive(Default)]
 struct ProcessSignals {
     shutdown: Cell<bool>,
@@ -54,12 +57,14 @@
     changed: Notify,
 }
 
+/// What a process runs, with its configuration.
 #[derive(Clone)]
 enum ProcessKind {
     ControlNode(Machine),
     Node(Machine),
     Server(Setup),
     Platform,
+    /// Runs clients and operators; its name is `desk`.
     ClientHost,
 }
 
@@ -69,42 +74,52 @@
     signals: Rc<ProcessSignals>,
 }
 
-/// A whole deployment in a simulated world.
+/// A simulated deployment that uses the product's own HTTP protocols.
 pub struct Town {
     pub sim: Rc<Sim>,
     pub layout: Layout,
+    /// What clients observed.
     pub history: Rc<History>,
+    /// What operators did and observed.
     pub words: Rc<Words>,
+    /// Guards that the processes run without.
     pub tricks: DisabledGuards,
     pub seed: u64,
     processes: RefCell<BTreeMap<String, Process>>,
+    /// The running database servers by name.
     pub servers: Rc<RefCell<BTreeMap<String, Rc<Server>>>>,
+    /// The stand-in for the platform, once it has started.
     pub platform: Rc<RefCell<Option<Rc<Platform>>>>,
+    /// The selection policy of nodes that start from now on.
     pub policy: RefCell<PolicySettings>,
-    /// Which process was asked to end, since when it was up, and when it was asked.
+    /// Orderly shutdowns that were requested: the process, when it was started, and when the request was made.
     pub shutdown_requests: RefCell<Vec<(String, Duration, Duration)>>,
-    /// Processes that count by other bounds.
+    /// Processes that run with a `blueprint` bound twenty times as long.
     with_long_bounds: RefCell<std::collections::BTreeSet<String>>,
+    /// State of the random numbers for faults, apart from those of the simulation.
     fault_rng: Cell<u64>,
+    /// When each process was last started.
     start_times: RefCell<BTreeMap<String, Duration>>,
+    /// Orderly shutdowns that were completed: the process and the time.
     shutdowns: Rc<RefCell<Vec<(String, Duration)>>>,
 }
 
+/// Distinct addresses, one a call.
 fn addrs() -> impl FnMut() -> SocketAddr {
-    let mut n = 0u16;
+    let mut count = 0u16;
     move || {
-        n += 1;
-        SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 4000))
+        count += 1;
+        SocketAddr::from(([127, 0, (count >> 8) as u8, count as u8], 4000))
     }
 }
 
 impl Town {
-    /// A town with all processes started.
+    /// Creates a deployment and starts all its processes.
     pub fn new(seed: u64, build: Build) -> Rc<Self> {
         let Build { machines, cap, warm, work, tricks } = build;
         let sim = Sim::new(seed);
         let layout = Layout::new(machines, cap, addrs());
-        let me = Rc::new(Self {
+        let deployment = Rc::new(Self {
             sim,
             layout: layout.clone(),
             history: Rc::default(),
@@ -121,55 +136,56 @@
             start_times: RefCell::default(),
             shutdowns: Rc::default(),
         });
-        let add = |name: &str, area: &str, what: ProcessKind| {
-            let host = me.sim.host(name, area);
-            me.processes.borrow_mut().insert(name.into(), Process { host, kind: what, signals: Rc::default() });
+        let add = |name: &str, zone: &str, kind: ProcessKind| {
+            let host = deployment.sim.host(name, zone);
+            deployment.processes.borrow_mut().insert(name.into(), Process { host, kind, signals: Rc::default() });
         };
         add("platform", "platform", ProcessKind::Platform);
-        for s in &layout.servers {
+        for server in &layout.servers {
             let setup = Setup {
-                name: s.name.clone(),
-                area: s.area.clone(),
-                addr: s.addr,
-                nodes: layout.reporters(&s.area),
+                name: server.name.clone(),
+                area: server.area.clone(),
+                addr: server.addr,
+                nodes: layout.reporters(&server.area),
                 cap,
                 warm,
                 work,
-                closed: me.words.closed.clone(),
+                closed: deployment.words.closed.clone(),
                 drain: Duration::from_secs(7),
             };
-            add(&s.name, &s.area, ProcessKind::Server(setup));
+            add(&server.name, &server.area, ProcessKind::Server(setup));
         }
-        for h in &layout.hubs {
-            add(&h.name, &h.area, ProcessKind::ControlNode(h.clone()));
+        for machine in &layout.hubs {
+            add(&machine.name, &machine.area, ProcessKind::ControlNode(machine.clone()));
         }
-        for n in &layout.spokes {
-            add(&n.name, &n.area, ProcessKind::Node(n.clone()));
+        for machine in &layout.spokes {
+            add(&machine.name, &machine.area, ProcessKind::Node(machine.clone()));
         }
         add("desk", "desk", ProcessKind::ClientHost);
-        let names: Vec<String> = me.processes.borrow().keys().cloned().collect();
-        names.iter().for_each(|n| me.launch(n));
-        me
+        let names: Vec<String> = deployment.processes.borrow().keys().cloned().collect();
+        names.iter().for_each(|name| deployment.launch(name));
+        deployment
     }
 
+    /// The index of a process's host; panics if there is no such process.
     fn host(&self, name: &str) -> usize {
         self.processes.borrow()[name].host
     }
 
-    /// Names of all processes.
+    /// The names of all processes.
     pub fn process_names(&self) -> Vec<String> {
         self.processes.borrow().keys().cloned().collect()
     }
 
-    /// Names of the processes of an area.
-    pub fn processes_in_zone(&self, area: &str) -> Vec<String> {
+    /// The names of the processes in a zone.
+    pub fn processes_in_zone(&self, zone: &str) -> Vec<String> {
         let hosts = self.sim.hosts.borrow();
-        self.processes.borrow().iter().filter(|(_, p)| hosts[p.host].zone == area).map(|(n, _)| n.clone()).collect()
+        self.processes.borrow().iter().filter(|(_, p)| hosts[p.host].zone == zone).map(|(n, _)| n.clone()).collect()
     }
 
-    /// A number below `top` for choosing faults; no process draws from the same dice, so that a change of the product
-    /// leaves the choice as it was.
-    pub fn fault_rand_below(&self, top: u64) -> u64 {
-        base::position::next_random(&self.fault_rng) % top.max(1)
+    /// A random number in `0..limit` for the choice of faults; 0 if `limit` is 0. No process draws from this sequence, so
+    /// that a seed still leads to the same faults after a change of the product.
+    pub fn fault_rand_below(&self, limit: u64) -> u64 {
+        base::position::next_random(&self.fault_rng) % limit.max(1)
     }
 }
--- a/kit/src/sim/deployment/verification.rs
+++ b/kit/src/sim/deployment/verification.rs
@@ -1,3 +1,5 @@
+//! The verdict over a run: what clients, servers and operators observed, checked against the guarantees.
+
 use std::{collections::BTreeMap, time::Duration};
 
 use super::Town;
@@ -8,82 +10,94 @@
 };
 
 impl Town {
-    /// The hub that leads, as the hubs' own log lines tell.
+    /// The control node that logged last that it became the leader. Runs no simulated time.
     pub fn control_leader_in_log(&self) -> Option<String> {
-        let lines = self.sim.log_lines.borrow();
-        lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.who.clone())
+        let log_lines = self.sim.log_lines.borrow();
+        log_lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.who.clone())
     }
 
-    /// The elected leader's name, as the platform was told last.
+    /// The primary of a group, as it was last reported to the platform.
     pub fn leader(&self, group: &str) -> Option<String> {
-        let p = self.platform.borrow();
-        let h = p.as_ref()?.history.borrow();
-        h.iter().rev().find(|(_, n)| n.group == group).map(|(_, n)| n.server.clone())
+        let platform = self.platform.borrow();
+        let history = platform.as_ref()?.history.borrow();
+        history.iter().rev().find(|(_, report)| report.group == group).map(|(_, report)| report.server.clone())
     }
 
-    /// The hub that leads, as its own page says.
+    /// The leading control node, as the control nodes report it over HTTP; `None` if none reports so within 5 s.
     pub fn chief(&self) -> Option<String> {
         let (env, layout) = (self.desk(), self.layout.clone());
         self.at_desk(Duration::from_secs(5), async move { crate::fleet::chief(&env, &layout).await })?
     }
 
-    /// Everything the checkers find, by what callers, servers and operators saw.
+    /// All violations of the guarantees that clients, servers and operators observed, as readable text.
     pub fn findings(&self) -> Vec<String> {
-        let mut out = Vec::new();
+        let mut findings = Vec::new();
         let mut logs: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
-        for (i, (db, _, _)) in DOORS.iter().enumerate() {
-            let (group, _) = &self.layout.groups()[i];
+        for (index, (database, _, _)) in DOORS.iter().enumerate() {
+            let (group, _) = &self.layout.groups()[index];
             let Some(name) = self.leader(group) else {
-                out.push(format!("{group} never had a leader"));
+                findings.push(format!("{group} never had a primary"));
                 continue;
             };
-            if let Some(s) = self.servers.borrow().get(&name) {
-                logs.insert(db, s.entries());
+            if let Some(server) = self.servers.borrow().get(&name) {
+                logs.insert(database, server.entries());
             }
         }
-        for (name, s) in self.servers.borrow().iter() {
-            let st = s.stats.borrow();
-            if st.mixed > 0 {
-                out.push(format!("{name}: {} statements met another caller's session", st.mixed));
+        for (name, server) in self.servers.borrow().iter() {
+            let stats = server.stats.borrow();
+            if stats.mixed > 0 {
+                findings.push(format!("{name}: {} statements ran in another client's session", stats.mixed));
             }
-            if st.late > 0 {
-                out.push(format!("{name}: {} statements came after it was drained or its area emptied", st.late));
+            if stats.late > 0 {
+                findings.push(format!(
+                    "{name}: {} statements arrived after it was drained or its zone evacuated",
+                    stats.late
+                ));
             }
-            if st.flooded > 0 {
-                out.push(format!("{name}: {} statements flooded it while cold", st.flooded));
+            if stats.flooded > 0 {
+                findings.push(format!("{name}: {} statements exceeded what it can take while cold", stats.flooded));
             }
-            if st.most_open > s.setup.cap as u64 {
-                out.push(format!("{name}: {} connections over the cap of {}", st.most_open, s.setup.cap));
+            if stats.most_open > server.setup.cap as u64 {
+                findings
+                    .push(format!("{name}: {} connections exceed its limit of {}", stats.most_open, server.setup.cap));
             }
         }
-        for (name, up, at) in self.shutdown_requests.borrow().iter() {
-            // A caller in whose hands the connection breaks while the node goes down as asked.
-            let ended = self.shutdowns.borrow();
-            let end = ended.iter().find(|e| e.0 == *name && e.1 >= *at && e.1 < *at + Duration::from_secs(10));
-            let Some((_, end)) = end else { continue };
-            for e in self.history.events.borrow().iter().filter(|e| e.node == *name && e.code == 0) {
-                // Broken sooner than there and back: the end was on its way before the request could arrive.
-                let crossed = e.done - e.start < Duration::from_millis(5);
-                // What another run of the process owed was lost with that run; a machine that is up again may take a while
-                // to say so on connections of the run before.
-                if e.start >= *up + Duration::from_secs(1)
-                    && e.done > *at
-                    && e.start < *end
-                    && e.note == "no answer"
+        for (name, start_time, requested_at) in self.shutdown_requests.borrow().iter() {
+            // No client may lose its connection while the node shuts down in order.
+            let shutdowns = self.shutdowns.borrow();
+            let shutdown = shutdowns.iter().find(|shutdown| {
+                shutdown.0 == *name
+                    && shutdown.1 >= *requested_at
+                    && shutdown.1 < *requested_at + Duration::from_secs(10)
+            });
+            let Some((_, ended_at)) = shutdown else { continue };
+            for event in self.history.events.borrow().iter().filter(|event| event.node == *name && event.code == 0) {
+                // The connection broke within less than a round trip: the node had closed it before the request could
+                // arrive.
+                let crossed = event.done - event.start < Duration::from_millis(5);
+                // Requests to an earlier run of the process were lost with that run. A host that is up again resets the
+                // connections of its earlier run only after some time, hence the second.
+                if event.start >= *start_time + Duration::from_secs(1)
+                    && event.done > *requested_at
+                    && event.start < *ended_at
+                    && event.note == "no answer"
                     && !crossed
                 {
-                    out.push(format!("s{} got no answer from {name}, asked to end at {at:?}: {e:?}", e.session));
+                    findings.push(format!(
+                        "s{} got no answer from {name}, requested to shut down at {requested_at:?}: {event:?}",
+                        event.session
+                    ));
                 }
             }
         }
-        let areas = self.layout.spokes.iter().map(|m| (m.name.clone(), m.area.clone())).collect();
-        let (late, empty) = (Duration::from_secs(3), Duration::from_secs(5));
-        out.extend(check_words::words(&self.words, &self.history.events.borrow(), &areas, late, empty));
-        out.extend(check::history(&self.history.events.borrow(), &logs, Duration::from_millis(1500)));
-        out
+        let zones = self.layout.spokes.iter().map(|m| (m.name.clone(), m.area.clone())).collect();
+        let (late, evacuation) = (Duration::from_secs(3), Duration::from_secs(5));
+        findings.extend(check_words::words(&self.words, &self.history.events.borrow(), &zones, late, evacuation));
+        findings.extend(check::history(&self.history.events.borrow(), &logs, Duration::from_millis(1500)));
+        findings
     }
 
-    /// The report of all load so far.
+    /// The report over all load so far, with the findings.
     pub fn report(&self) -> Report {
         Report::new(&self.history.events.borrow(), self.findings())
     }
--- a/kit/src/sim/disk.rs
+++ b/kit/src/sim/disk.rs
@@ -1,3 +1,5 @@
+//! The simulated disk: files in memory that survive a kill, with torn writes, corruption, and a full or broken device.
+
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -10,47 +12,50 @@
 
 use super::{core::Sim, runtime::sleep_sim_time};
 
-/// A host's files as they survive a kill.
+/// The files of a host. They survive a kill.
 #[derive(Default)]
 pub(super) struct DiskFiles {
     pub contents: RefCell<BTreeMap<String, Vec<u8>>>,
+    /// Writes fail with `StorageFull`.
     pub full: Cell<bool>,
+    /// Writes fail with an input/output error.
     pub broken: Cell<bool>,
 }
 
 impl DiskFiles {
-    /// Everything is lost.
+    /// Removes all files.
     pub fn wipe(&self) {
         self.contents.borrow_mut().clear();
     }
 
-    /// The newer half of every file's lines is lost, as when an older copy is put back.
+    /// Drops the later half of the lines of every file, as if an older copy of the disk had been restored.
     pub fn restore_older_copy(&self) {
         for data in self.contents.borrow_mut().values_mut() {
-            let lines = data.iter().filter(|b| **b == b'\n').count();
-            let keep: usize = data.split_inclusive(|b| *b == b'\n').take(lines.div_ceil(2)).map(<[u8]>::len).sum();
-            data.truncate(keep);
+            let line_count = data.iter().filter(|b| **b == b'\n').count();
+            let kept_bytes: usize =
+                data.split_inclusive(|b| *b == b'\n').take(line_count.div_ceil(2)).map(<[u8]>::len).sum();
+            data.truncate(kept_bytes);
         }
     }
 
-    /// Rots a byte of every file whose name starts so.
+    /// Flips bits of one random byte in every file whose name starts with `prefix`.
     pub fn corrupt(&self, sim: &Sim, prefix: &str) {
-        for (_, data) in self.contents.borrow_mut().iter_mut().filter(|(n, _)| n.starts_with(prefix)) {
+        for (_, data) in self.contents.borrow_mut().iter_mut().filter(|(name, _)| name.starts_with(prefix)) {
             if !data.is_empty() {
-                let at = sim.rand_below(data.len() as u64) as usize;
-                data[at] ^= 0x55;
+                let position = sim.rand_below(data.len() as u64) as usize;
+                data[position] ^= 0x55;
             }
         }
     }
 }
 
-/// The disk seam of a simulated process.
+/// The [`Disk`] of a simulated process.
 pub(super) struct SimDisk {
     pub sim: Rc<Sim>,
     pub files: Rc<DiskFiles>,
 }
 
-/// A write under way: cut short if the process is killed before it is done.
+/// A write in progress. If the process is killed before it ends, a random part of the data may reach the file.
 struct PendingWrite {
     sim: Rc<Sim>,
     files: Rc<DiskFiles>,
@@ -61,20 +66,21 @@
 }
 
 impl PendingWrite {
+    /// Writes the first `size` bytes of the data; without an offset they replace the file.
     fn apply(&self, size: usize) {
-        let mut map = self.files.contents.borrow_mut();
-        let file = map.entry(self.name.clone()).or_default();
-        let at = match self.offset {
-            Some(at) => at as usize,
+        let mut files = self.files.contents.borrow_mut();
+        let file = files.entry(self.name.clone()).or_default();
+        let start = match self.offset {
+            Some(offset) => offset as usize,
             None => {
                 file.clear();
                 0
             }
         };
-        if file.len() < at + size {
-            file.resize(at + size, 0);
+        if file.len() < start + size {
+            file.resize(start + size, 0);
         }
-        file[at..at + size].copy_from_slice(&self.data[..size]);
+        file[start..start + size].copy_from_slice(&self.data[..size]);
     }
 }
 
@@ -88,19 +94,20 @@
 }
 
 impl SimDisk {
-    fn begin_write(&self, name: &str, at: Option<u64>, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
+    /// Writes `data` after a random delay; without an offset the data replaces the file.
+    fn begin_write(&self, name: &str, offset: Option<u64>, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         let (sim, files, name) = (self.sim.clone(), self.files.clone(), name.to_string());
         Box::pin(async move {
             if files.full.get() {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            let mut w = PendingWrite { sim: sim.clone(), files: files.clone(), name, offset: at, data, done: false };
+            let mut write = PendingWrite { sim: sim.clone(), files: files.clone(), name, offset, data, done: false };
             sleep_sim_time(&sim, Duration::from_micros(300 + sim.rand_below(4000))).await;
             if files.broken.get() {
                 return Err(io::Error::other("input/output error"));
             }
-            w.done = true;
-            w.apply(w.data.len());
+            write.done = true;
+            write.apply(write.data.len());
             Ok(())
         })
     }
@@ -108,15 +115,15 @@
 
 impl Disk for SimDisk {
     fn read(&self, name: &str) -> LocalFuture<io::Result<Option<Vec<u8>>>> {
-        let out = self.files.contents.borrow().get(name).cloned();
-        Box::pin(async move { Ok(out) })
+        let data = self.files.contents.borrow().get(name).cloned();
+        Box::pin(async move { Ok(data) })
     }
 
     fn write(&self, name: &str, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
         self.begin_write(name, None, data)
     }
 
-    fn append(&self, name: &str, at: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
-        self.begin_write(name, Some(at), data)
+    fn append(&self, name: &str, offset: u64, data: Vec<u8>) -> LocalFuture<io::Result<()>> {
+        self.begin_write(name, Some(offset), data)
     }
 }
--- a/kit/src/sim/fault_injection.rs
+++ b/kit/src/sim/fault_injection.rs
@@ -1,12 +1,14 @@
-//! What a campaign does to a town: each kind of fault, drawn from dice of its own.
+//! Fault injection: the kinds of faults that a randomized run injects into a deployment.
+//!
+//! Targets and durations come from [`Town::fault_rand_below`].
 
 use std::{rc::Rc, time::Duration};
 
 use super::{Sim, Town, timeline};
 use crate::load::{self, Node};
 
-/// Every kind of fault a run may draw, and the share of work in percent that must be answered within a second while
-/// three of that kind come in thirty seconds.
+/// Every kind of fault that a run may draw, with the share of requests in percent that must be served within a second
+/// during a run of 30 seconds with three faults of that kind.
 pub const KINDS: [(&str, f64); 45] = [
     ("late-answer", 96.0),
     ("join", 98.0),
@@ -55,287 +57,302 @@
     ("nothing", 98.0),
 ];
 
-/// What was done, and how long it lasts.
+/// A fault that was injected.
 pub struct InjectedFault {
-    pub target: String,
+    /// Its target, or its parameters.
+    pub details: String,
+    /// How long it lasts from its injection on.
     pub duration: Duration,
 }
 
-fn pick_name<'a>(town: &Town, all: &'a [String]) -> &'a str {
-    &all[town.fault_rand_below(all.len() as u64) as usize]
+/// One of the names at random; panics if there are none.
+fn pick_name<'a>(deployment: &Town, names: &'a [String]) -> &'a str {
+    &names[deployment.fault_rand_below(names.len() as u64) as usize]
 }
 
-/// The one server of a group that loses its log in this run.
-fn log_loss_server(town: &Town, group: &str) -> String {
-    let all: Vec<&str> = town.layout.servers.iter().filter(|s| s.group == group).map(|s| s.name.as_str()).collect();
-    all[town.seed as usize % 3].into()
+/// The only server of a group that may lose its log in this run.
+fn log_loss_server(deployment: &Town, group: &str) -> String {
+    let members: Vec<&str> =
+        deployment.layout.servers.iter().filter(|s| s.group == group).map(|s| s.name.as_str()).collect();
+    members[deployment.seed as usize % 3].into()
 }
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-/// Does something to the town at a later time, if it is still there.
-fn schedule(town: &Rc<Town>, span: Duration, act: impl FnOnce(&Rc<Town>) + 'static) {
-    let weak = Rc::downgrade(town);
-    town.sim.schedule_action(span, move |_: &Rc<Sim>| {
-        if let Some(t) = weak.upgrade() {
-            act(&t);
+/// Runs an action after a delay in simulated time, unless the deployment has been dropped by then.
+fn schedule(deployment: &Rc<Town>, delay: Duration, action: impl FnOnce(&Rc<Town>) + 'static) {
+    let weak = Rc::downgrade(deployment);
+    deployment.sim.schedule_action(delay, move |_: &Rc<Sim>| {
+        if let Some(deployment) = weak.upgrade() {
+            action(&deployment);
         }
     });
 }
 
-/// Says a timeline's word to a process at a later time.
-fn schedule_action(town: &Rc<Town>, span: Duration, name: &str, word: &'static str) {
+/// Carries out a timeline action on a process after a delay.
+fn schedule_action(deployment: &Rc<Town>, delay: Duration, name: &str, action: &'static str) {
     let name = name.to_string();
-    schedule(town, span, move |t| timeline::act(t, &name, word));
+    schedule(deployment, delay, move |deployment| timeline::act(deployment, &name, action));
 }
 
-/// Heals both ways at a later time.
-fn schedule_heal(town: &Rc<Town>, span: Duration, one: &str, other: &str) {
-    let (a, b) = (one.to_string(), other.to_string());
-    schedule(town, span, move |t| {
-        t.heal_path(&a, &b);
-        t.heal_path(&b, &a);
+/// Heals the paths between two processes or zones, in both directions, after a delay.
+fn schedule_heal(deployment: &Rc<Town>, delay: Duration, one: &str, other: &str) {
+    let (one, other) = (one.to_string(), other.to_string());
+    schedule(deployment, delay, move |deployment| {
+        deployment.heal_path(&one, &other);
+        deployment.heal_path(&other, &one);
     });
 }
 
-/// Brings one fault of a kind about.
-pub fn inject_fault(town: &Rc<Town>, kind: &str) -> InjectedFault {
-    let names = |all: &[crate::fleet::Machine]| -> Vec<String> { all.iter().map(|m| m.name.clone()).collect() };
-    let (hubs, spokes) = (names(&town.layout.hubs), names(&town.layout.spokes));
-    let spares = town.fault_rand_below(4) == 0;
-    let servers = town.layout.servers.iter().filter(|s| spares || !s.spare);
+/// Injects one fault of a kind (a name of [`KINDS`]) and schedules its end. An unknown kind injects nothing.
+pub fn inject_fault(deployment: &Rc<Town>, kind: &str) -> InjectedFault {
+    let names =
+        |machines: &[crate::fleet::Machine]| -> Vec<String> { machines.iter().map(|m| m.name.clone()).collect() };
+    let (control_nodes, nodes) = (names(&deployment.layout.hubs), names(&deployment.layout.spokes));
+    let include_spares = deployment.fault_rand_below(4) == 0;
+    let servers = deployment.layout.servers.iter().filter(|s| include_spares || !s.spare);
     let servers: Vec<String> = servers.map(|s| s.name.clone()).collect();
-    let all = [hubs.clone(), spokes.clone(), servers.clone()].concat();
-    let areas = town.layout.areas.clone();
-    let group = format!("g{}", 1 + town.fault_rand_below(3));
-    let span = ms(200 + town.fault_rand_below(6000));
+    let all = [control_nodes.clone(), nodes.clone(), servers.clone()].concat();
+    let zones = deployment.layout.areas.clone();
+    let group = format!("g{}", 1 + deployment.fault_rand_below(3));
+    let duration = ms(200 + deployment.fault_rand_below(6000));
     let node = |name: &str| {
-        let m = town.layout.spokes.iter().find(|m| m.name == name).expect("a spoke");
-        Node { name: m.name.clone(), area: m.area.clone(), addr: m.http }
+        let machine = deployment.layout.spokes.iter().find(|m| m.name == name).expect("a node of the deployment");
+        Node { name: machine.name.clone(), area: machine.area.clone(), addr: machine.http }
     };
-    let done = |text: &str, span: Duration| InjectedFault { target: text.into(), duration: span };
-    let down = |name: &str, how: &str, span: Duration| {
+    let fault = |details: &str, duration: Duration| InjectedFault { details: details.into(), duration };
+    let take_down = |name: &str, action: &str, duration: Duration| {
         if name.is_empty() {
-            return done("nobody", Duration::ZERO);
+            return fault("nobody", Duration::ZERO);
         }
-        timeline::act(town, name, how);
-        schedule_action(town, span, name, "start");
-        done(name, span)
+        timeline::act(deployment, name, action);
+        schedule_action(deployment, duration, name, "start");
+        fault(name, duration)
     };
     match kind {
-        "kill-server" => down(pick_name(town, &servers), "kill", span),
-        "kill-hub" => down(pick_name(town, &hubs), "kill", span),
-        "kill-spoke" => down(pick_name(town, &spokes), "kill", span),
-        "kill-leader" => down(&town.leader(&group).unwrap_or_default(), "kill", span),
-        "dark-leader" => down(&town.leader(&group).unwrap_or_default(), "dark", span),
+        "kill-server" => take_down(pick_name(deployment, &servers), "kill", duration),
+        "kill-hub" => take_down(pick_name(deployment, &control_nodes), "kill", duration),
+        "kill-spoke" => take_down(pick_name(deployment, &nodes), "kill", duration),
+        "kill-leader" => take_down(&deployment.leader(&group).unwrap_or_default(), "kill", duration),
+        "dark-leader" => take_down(&deployment.leader(&group).unwrap_or_default(), "dark", duration),
         "dark-chief" => {
-            let name = town.control_leader_in_log().unwrap_or_else(|| hubs[0].clone());
-            down(&name, "dark", span)
+            let name = deployment.control_leader_in_log().unwrap_or_else(|| control_nodes[0].clone());
+            take_down(&name, "dark", duration)
+        }
+        "dark-back" => take_down(pick_name(deployment, &all), "dark", ms(30 + deployment.fault_rand_below(300))),
+        "dark-area" => take_down(pick_name(deployment, &zones), "dark", duration),
+        // A group survives the loss of one log, and the control nodes the loss of one disk. Within a run it is always the
+        // same server or control node that loses it.
+        "replace-server" => {
+            take_down(&log_loss_server(deployment, &group), "wipe", ms(20 + deployment.fault_rand_below(1500)))
+        }
+        "short-server" => {
+            take_down(&log_loss_server(deployment, &group), "short", ms(20 + deployment.fault_rand_below(1500)))
         }
-        "dark-back" => down(pick_name(town, &all), "dark", ms(30 + town.fault_rand_below(300))),
-        "dark-area" => down(pick_name(town, &areas), "dark", span),
-        // One lost log in a group, one lost disk of the hubs: it is always the same one, as that is what three can bear.
-        "replace-server" => down(&log_loss_server(town, &group), "wipe", ms(20 + town.fault_rand_below(1500))),
-        "short-server" => down(&log_loss_server(town, &group), "short", ms(20 + town.fault_rand_below(1500))),
         "replace-then-dark" => {
-            let (name, lead) = (log_loss_server(town, &group), town.leader(&group).unwrap_or_default());
-            let out = down(&name, "wipe", ms(20 + town.fault_rand_below(1500)));
-            if lead == name || lead.is_empty() {
-                return out;
+            let (name, primary) = (log_loss_server(deployment, &group), deployment.leader(&group).unwrap_or_default());
+            let wiped = take_down(&name, "wipe", ms(20 + deployment.fault_rand_below(1500)));
+            if primary == name || primary.is_empty() {
+                return wiped;
             }
-            schedule_action(town, ms(town.fault_rand_below(2000)), &lead, "dark");
-            schedule_action(town, ms(2000) + span, &lead, "start");
-            done(&format!("{name} {lead}"), ms(2000) + span)
+            schedule_action(deployment, ms(deployment.fault_rand_below(2000)), &primary, "dark");
+            schedule_action(deployment, ms(2000) + duration, &primary, "start");
+            fault(&format!("{name} {primary}"), ms(2000) + duration)
         }
         "wipe-hub" | "rot-hub" => {
-            let name = &hubs[town.seed as usize % 3];
-            town.kill(name);
+            let name = &control_nodes[deployment.seed as usize % 3];
+            deployment.kill(name);
             match kind {
-                "wipe-hub" => town.wipe(name),
-                _ => town.corrupt_files(name, ["slot", "log", ""][town.fault_rand_below(3) as usize]),
+                "wipe-hub" => deployment.wipe(name),
+                _ => deployment.corrupt_files(name, ["slot", "log", ""][deployment.fault_rand_below(3) as usize]),
             }
-            schedule_action(town, span, name, "start");
-            done(name, span)
+            schedule_action(deployment, duration, name, "start");
+            fault(name, duration)
         }
         "full-hub" => {
-            let name = pick_name(town, &hubs);
-            town.set_disk_full(name, true);
-            schedule_action(town, span, name, "room");
-            schedule_action(town, span, name, "start");
-            done(name, span)
+            let name = pick_name(deployment, &control_nodes);
+            deployment.set_disk_full(name, true);
+            schedule_action(deployment, duration, name, "room");
+            schedule_action(deployment, duration, name, "start");
+            fault(name, duration)
         }
         "cold-group" => {
-            let all: Vec<&String> = servers.iter().filter(|s| s.starts_with(&group)).collect();
-            all.iter().for_each(|s| {
-                down(s, "kill", ms(200 + town.fault_rand_below(1000)));
+            let members: Vec<&String> = servers.iter().filter(|s| s.starts_with(&group)).collect();
+            members.iter().for_each(|server| {
+                take_down(server, "kill", ms(200 + deployment.fault_rand_below(1000)));
             });
-            done(&group, ms(1200))
+            fault(&group, ms(1200))
         }
         "all-hubs" => {
-            hubs.iter().for_each(|h| {
-                down(h, "kill", span);
+            control_nodes.iter().for_each(|control_node| {
+                take_down(control_node, "kill", duration);
             });
-            done("", span)
+            fault("", duration)
         }
         "restart-hub" | "restart-spoke" => {
-            let name = pick_name(town, if kind == "restart-hub" { &hubs } else { &spokes });
-            if town.up(name) {
-                town.leave(name);
+            let name = pick_name(deployment, if kind == "restart-hub" { &control_nodes } else { &nodes });
+            if deployment.up(name) {
+                deployment.request_shutdown(name);
             }
-            schedule_action(town, ms(6000), name, "start");
-            done(name, ms(6000))
+            schedule_action(deployment, ms(6000), name, "start");
+            fault(name, ms(6000))
         }
         "freeze" => {
-            let name = pick_name(town, &all);
-            if town.up(name) {
-                town.freeze(name);
+            let name = pick_name(deployment, &all);
+            if deployment.up(name) {
+                deployment.freeze(name);
             }
-            schedule_action(town, span, name, "thaw");
-            done(name, span)
+            schedule_action(deployment, duration, name, "thaw");
+            fault(name, duration)
         }
         "cut-areas" | "cut-one-way" | "triangle" => {
-            let at = town.fault_rand_below(3) as usize;
-            let (one, other) = (&areas[at], &areas[(at + 1 + town.fault_rand_below(2) as usize) % 3]);
-            town.cut_path(one, other);
+            let index = deployment.fault_rand_below(3) as usize;
+            let (one, other) = (&zones[index], &zones[(index + 1 + deployment.fault_rand_below(2) as usize) % 3]);
+            deployment.cut_path(one, other);
             if kind != "cut-one-way" {
-                town.cut_path(other, one);
+                deployment.cut_path(other, one);
             }
-            let span = if kind == "triangle" { ms(5000 + town.fault_rand_below(900)) } else { span };
-            schedule_heal(town, span, one, other);
-            done(&format!("{one} {other}"), span)
+            let duration = if kind == "triangle" { ms(5000 + deployment.fault_rand_below(900)) } else { duration };
+            schedule_heal(deployment, duration, one, other);
+            fault(&format!("{one} {other}"), duration)
         }
         "island" => {
-            // Cut off from the others and the platform; its callers go on.
-            let name = pick_name(town, &areas);
-            for other in areas.iter().map(String::as_str).chain(["platform"]).filter(|a| *a != name) {
-                town.cut_both_paths(name, other);
-                schedule_heal(town, span, name, other);
+            // The zone is cut off from the other zones and the platform, but not from the clients.
+            let name = pick_name(deployment, &zones);
+            for other in zones.iter().map(String::as_str).chain(["platform"]).filter(|zone| *zone != name) {
+                deployment.cut_both_paths(name, other);
+                schedule_heal(deployment, duration, name, other);
             }
-            done(name, span)
+            fault(name, duration)
         }
         "half-open" => {
-            let name = pick_name(town, &all);
-            let other = ["desk", areas[town.fault_rand_below(3) as usize].as_str()][town.fault_rand_below(2) as usize].to_string();
-            town.cut_path(name, &other);
-            schedule_heal(town, span, name, &other);
-            done(&format!("{name} {other}"), span)
+            let name = pick_name(deployment, &all);
+            let other = ["desk", zones[deployment.fault_rand_below(3) as usize].as_str()]
+                [deployment.fault_rand_below(2) as usize]
+                .to_string();
+            deployment.cut_path(name, &other);
+            schedule_heal(deployment, duration, name, &other);
+            fault(&format!("{name} {other}"), duration)
         }
         "cut-process" => {
-            let (one, other) = (pick_name(town, &all), pick_name(town, &all));
-            town.cut_path(one, other);
-            if town.fault_rand_below(2) == 0 {
-                town.cut_path(other, one);
+            let (one, other) = (pick_name(deployment, &all), pick_name(deployment, &all));
+            deployment.cut_path(one, other);
+            if deployment.fault_rand_below(2) == 0 {
+                deployment.cut_path(other, one);
             }
-            schedule_heal(town, span, one, other);
-            done(&format!("{one} {other}"), span)
+            schedule_heal(deployment, duration, one, other);
+            fault(&format!("{one} {other}"), duration)
         }
         "slow" => {
-            let (one, other) = (pick_name(town, &areas).to_string(), pick_name(town, &areas).to_string());
-            town.slow(&one, &other, ms(20 + town.fault_rand_below(300)));
-            let text = format!("{one} {other}");
-            schedule(town, span, move |t| t.slow(&one, &other, Duration::ZERO));
-            done(&text, span)
+            let (one, other) = (pick_name(deployment, &zones).to_string(), pick_name(deployment, &zones).to_string());
+            deployment.delay_paths(&one, &other, ms(20 + deployment.fault_rand_below(300)));
+            let details = format!("{one} {other}");
+            schedule(deployment, duration, move |deployment| deployment.delay_paths(&one, &other, Duration::ZERO));
+            fault(&details, duration)
         }
         "join" | "quit" => {
-            let name = if kind == "join" { format!("{group}-d") } else { pick_name(town, &servers).to_string() };
-            town.change_membership(&name, kind == "join");
-            done(&name, ms(4000))
+            let name = if kind == "join" { format!("{group}-d") } else { pick_name(deployment, &servers).to_string() };
+            deployment.change_membership(&name, kind == "join");
+            fault(&name, ms(4000))
         }
         "handover" => {
-            let name = pick_name(town, &servers);
-            town.request_handover(name);
-            done(name, ms(1000))
+            let name = pick_name(deployment, &servers);
+            deployment.request_handover(name);
+            fault(name, ms(1000))
         }
         "policy" => {
-            let p = base::settings::PolicySettings {
-                eval_interval_ms: 200 + town.fault_rand_below(5000),
-                max_lag: 1 + town.fault_rand_below(20),
-                resample: town.fault_rand_below(2) == 0,
+            let policy = base::settings::PolicySettings {
+                eval_interval_ms: 200 + deployment.fault_rand_below(5000),
+                max_lag: 1 + deployment.fault_rand_below(20),
+                resample: deployment.fault_rand_below(2) == 0,
                 resample_interval_ms: 1000,
-                per_kind: town.fault_rand_below(2) == 0,
+                per_kind: deployment.fault_rand_below(2) == 0,
                 ..Default::default()
             };
-            town.set_policy(&p);
-            done(&format!("interval {} lag {}", p.eval_interval_ms, p.max_lag), Duration::ZERO)
+            deployment.set_policy(&policy);
+            fault(&format!("interval {} lag {}", policy.eval_interval_ms, policy.max_lag), Duration::ZERO)
         }
         "limits" => {
-            let text = format!(
+            let limits = format!(
                 "\"limits\":{{\"statement_ms\":{},\"idle_ms\":{}}}",
-                1500 + town.fault_rand_below(3000),
-                500 + town.fault_rand_below(9000)
+                1500 + deployment.fault_rand_below(3000),
+                500 + deployment.fault_rand_below(9000)
             );
-            town.request_configuration_change(&text);
-            done(&text, Duration::ZERO)
+            deployment.request_configuration_change(&limits);
+            fault(&limits, Duration::ZERO)
         }
         "odd-bounds" => {
-            let name = pick_name(town, &spokes);
-            timeline::act(town, name, "odd");
-            schedule_action(town, ms(2000), name, "even");
-            done(name, ms(2000))
+            let name = pick_name(deployment, &nodes);
+            timeline::act(deployment, name, "odd");
+            schedule_action(deployment, ms(2000), name, "even");
+            fault(name, ms(2000))
         }
         "reset" => {
-            let name = pick_name(town, &all);
-            town.reset_connections(name);
-            done(name, Duration::ZERO)
+            let name = pick_name(deployment, &all);
+            deployment.reset_connections(name);
+            fault(name, Duration::ZERO)
         }
         "stall-then-dark" => {
-            let name = town.leader(&group).unwrap_or_default();
+            let name = deployment.leader(&group).unwrap_or_default();
             let others: Vec<String> =
                 servers.iter().filter(|s| s.starts_with(&group) && **s != name).cloned().collect();
-            let one = pick_name(town, &others);
-            timeline::act(town, one, "stall");
-            schedule_action(town, span, one, "flow");
-            schedule_action(town, ms(town.fault_rand_below(3000)), &name, "dark");
-            schedule_action(town, span + ms(4000), &name, "start");
-            done(&format!("{one} {name}"), span + ms(4000))
+            let one = pick_name(deployment, &others);
+            timeline::act(deployment, one, "stall");
+            schedule_action(deployment, duration, one, "flow");
+            schedule_action(deployment, ms(deployment.fault_rand_below(3000)), &name, "dark");
+            schedule_action(deployment, duration + ms(4000), &name, "start");
+            fault(&format!("{one} {name}"), duration + ms(4000))
         }
         "stall" | "sick" | "drain" => {
-            let name = pick_name(town, &servers);
-            timeline::act(town, name, kind);
+            let name = pick_name(deployment, &servers);
+            timeline::act(deployment, name, kind);
             let end = match kind {
                 "stall" => "flow",
                 "sick" => "well",
                 _ => "drained",
             };
-            schedule_action(town, span, name, end);
-            done(name, span)
+            schedule_action(deployment, duration, name, end);
+            fault(name, duration)
         }
         "mute" | "late-answer" => {
-            let name = match town.fault_rand_below(2) {
-                0 => pick_name(town, &servers).to_string(),
-                _ => town.leader(&group).unwrap_or_default(),
+            let name = match deployment.fault_rand_below(2) {
+                0 => pick_name(deployment, &servers).to_string(),
+                _ => deployment.leader(&group).unwrap_or_default(),
             };
-            timeline::act(town, &name, if kind == "mute" { "mute" } else { "late" });
-            done(&name, Duration::ZERO)
+            timeline::act(deployment, &name, if kind == "mute" { "mute" } else { "late" });
+            fault(&name, Duration::ZERO)
         }
         "empty" => {
-            let name = pick_name(town, &areas);
-            town.evacuate_zone(name, span + ms(5500));
-            done(name, span + ms(6000))
+            let name = pick_name(deployment, &zones);
+            deployment.evacuate_zone(name, duration + ms(5500));
+            fault(name, duration + ms(6000))
         }
         "nonsense" => {
-            town.request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"none\",\"promise\":\"any\"}]");
-            town.request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"g1\",\"promise\":\"best\"}]");
-            done("", Duration::ZERO)
+            deployment
+                .request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"none\",\"promise\":\"any\"}]");
+            deployment.request_configuration_change("\"put\":[{\"name\":\"x\",\"group\":\"g1\",\"promise\":\"best\"}]");
+            fault("", Duration::ZERO)
         }
         "race" => {
-            (0..4).for_each(|_| town.request_configuration_change("\"put\":[]"));
-            done("", Duration::ZERO)
+            (0..4).for_each(|_| deployment.request_configuration_change("\"put\":[]"));
+            fault("", Duration::ZERO)
         }
         "caller-cut" => {
-            let (env, at, id) = (town.desk(), node(pick_name(town, &spokes)), town.history.numbers.next());
-            let text = at.name.clone();
-            town.spawn_at_desk(async move { load::cut_short(&env, at.addr, id).await });
-            done(&text, Duration::ZERO)
+            let (env, target, id) =
+                (deployment.desk(), node(pick_name(deployment, &nodes)), deployment.history.numbers.next());
+            let target_name = target.name.clone();
+            deployment.spawn_at_desk(async move { load::cut_short(&env, target.addr, id).await });
+            fault(&target_name, Duration::ZERO)
         }
         "twice" => {
-            let (env, at, history) = (town.desk(), node(pick_name(town, &spokes)), town.history.clone());
-            let text = at.name.clone();
-            town.spawn_at_desk(async move { load::thrice(&env, &at, &history).await });
-            done(&text, Duration::ZERO)
+            let (env, target, history) =
+                (deployment.desk(), node(pick_name(deployment, &nodes)), deployment.history.clone());
+            let target_name = target.name.clone();
+            deployment.spawn_at_desk(async move { load::thrice(&env, &target, &history).await });
+            fault(&target_name, Duration::ZERO)
         }
-        _ => done("", Duration::ZERO),
+        _ => fault("", Duration::ZERO),
     }
 }
--- a/kit/src/sim/measurements.rs
+++ b/kit/src/sim/measurements.rs
@@ -1,4 +1,4 @@
-//! Figures in virtual time and counts: selection, shares, control messages, cost of a statement.
+//! Measurements in simulated time: server selection, connection shares, control traffic, and the cost of a request.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -7,187 +7,207 @@
 use super::{Build, Town, act};
 use crate::fleet;
 
-fn secs(n: u64) -> Duration {
-    Duration::from_secs(n)
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
-fn fetch_page(town: &Rc<Town>, node: usize, path: &str) -> String {
-    let (env, addr, path) = (town.desk(), town.layout.spokes[node].http, path.to_string());
-    let out = town.at_desk(secs(5), async move { fleet::ask(&env, addr, "GET", &path, "").await });
-    out.flatten().map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default()
+/// The body of a node's HTTP page; empty without a response within 5 s.
+fn fetch_page(deployment: &Rc<Town>, node: usize, path: &str) -> String {
+    let (env, addr, path) = (deployment.desk(), deployment.layout.spokes[node].http, path.to_string());
+    let response = deployment.at_desk(secs(5), async move { fleet::ask(&env, addr, "GET", &path, "").await });
+    response.flatten().map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default()
 }
 
-/// The share of a server's connections that a node's own page shows.
-fn share(town: &Rc<Town>, node: usize, server: &str) -> u64 {
-    let text = fetch_page(town, node, "/status");
-    let part = text.split(&format!("\"server\":\"{server}\",\"share\":")).nth(1).unwrap_or("0");
-    part.split(',').next().and_then(|n| n.parse().ok()).unwrap_or(0)
+/// A node's share of a server's connections, as its status page shows it; 0 if it shows none.
+fn connection_share(deployment: &Rc<Town>, node: usize, server: &str) -> u64 {
+    let page = fetch_page(deployment, node, "/status");
+    let share = page.split(&format!("\"server\":\"{server}\",\"share\":")).nth(1).unwrap_or("0");
+    share.split(',').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// A server that goes wrong from the 6th second to the 20th: reads that met it, and node-seconds for which it was left
-/// out after it was well again, by evaluation interval and window.
+/// A server fails reads from the 6th second to the 20th. By evaluation interval and window: the reads that failed at it,
+/// and the node-seconds for which it was not eligible after it had recovered. The second pair of columns is for a server
+/// that alternates between 2 s of failure and 2 s of recovery.
 fn selection() {
-    println!("selection: reads over `hours` that met a bad server, and node-seconds it was left out when well again");
+    println!(
+        "selection: reads over `hours` at a failing server, and node-seconds it was not eligible after it recovered"
+    );
     println!("{:>10}{:>10}{:>10}{:>10}{:>12}{:>12}", "interval", "window", "sick", "out", "flapping", "out");
     for (interval, window) in [(60, 60), (60, 10), (30, 10), (10, 60), (10, 10), (5, 10), (1, 5)] {
-        let run = |flap: bool| {
-            let t = Town::new(7, Build::default());
-            t.set_policy(&PolicySettings {
+        let run = |flapping: bool| {
+            let deployment = Town::new(7, Build::default());
+            deployment.set_policy(&PolicySettings {
                 eval_interval_ms: interval * 1000,
                 window_ms: window * 1000,
                 ..PolicySettings::default()
             });
-            if t.settle(secs(30)).is_err() {
+            if deployment.settle(secs(30)).is_err() {
                 return (0, 0);
             }
-            t.drive(90, 120.0, secs(90));
-            t.sim.pass(secs(6));
+            deployment.drive(90, 120.0, secs(90));
+            deployment.sim.pass(secs(6));
             for i in 0..14 {
-                act(&t, "g3-b", if flap && i % 4 >= 2 { "well" } else { "sick" });
-                t.sim.pass(secs(1));
+                act(&deployment, "g3-b", if flapping && i % 4 >= 2 { "well" } else { "sick" });
+                deployment.sim.pass(secs(1));
             }
-            act(&t, "g3-b", "well");
-            let mut out = 0;
+            act(&deployment, "g3-b", "well");
+            let mut excluded_node_seconds = 0;
             for _ in 0..70 {
-                t.sim.pass(secs(1));
-                out += (0..t.layout.spokes.len())
-                    .filter(|n| {
-                        let lists = fetch_page(&t, *n, "/lists");
-                        let part = lists.split("\"database\":\"hours\"").nth(1).unwrap_or("");
-                        let set = part.split("\"eligible\":[").nth(1).and_then(|p| p.split(']').next()).unwrap_or("");
-                        !set.contains("g3-b")
+                deployment.sim.pass(secs(1));
+                excluded_node_seconds += (0..deployment.layout.spokes.len())
+                    .filter(|node| {
+                        let lists = fetch_page(&deployment, *node, "/lists");
+                        let database = lists.split("\"database\":\"hours\"").nth(1).unwrap_or("");
+                        let eligible =
+                            database.split("\"eligible\":[").nth(1).and_then(|p| p.split(']').next()).unwrap_or("");
+                        !eligible.contains("g3-b")
                     })
                     .count();
             }
-            let met = t.servers.borrow()["g3-b"].stats.borrow().spoilt;
-            (met, out)
+            let failed_reads = deployment.servers.borrow()["g3-b"].stats.borrow().spoilt;
+            (failed_reads, excluded_node_seconds)
         };
-        let ((sick, one), (flap, two)) = (run(false), run(true));
-        println!("{interval:>8} s{window:>8} s{sick:>10}{one:>10}{flap:>12}{two:>12}");
+        let ((sick, sick_excluded), (flapping, flapping_excluded)) = (run(false), run(true));
+        println!("{interval:>8} s{window:>8} s{sick:>10}{sick_excluded:>10}{flapping:>12}{flapping_excluded:>12}");
     }
 }
 
-/// All callers come to one area, then to another: what each node may open at the leader of `pay`.
+/// All clients are in one zone, then in another: how many connections each node may open to the primary of `pay`.
 fn shares() {
-    println!(
-        "\nshares of g1-a's 37 connections over six nodes; 200 sessions come to north (n1, n4), then to mid (n2, n5)"
-    );
-    let t = Town::new(3, Build { work: Duration::from_millis(60), ..Build::default() });
-    if t.settle(secs(30)).is_err() {
+    println!("\nshares of g1-a's 37 connections over six nodes; 200 sessions in north (n1, n4), then in mid (n2, n5)");
+    let deployment = Town::new(3, Build { work: Duration::from_millis(60), ..Build::default() });
+    if deployment.settle(secs(30)).is_err() {
         return;
     }
-    let row = |at: &str| {
-        let all: Vec<u64> = (0..6).map(|n| share(&t, n, "g1-a")).collect();
-        println!("{at:>16} {all:?} sum {}", all.iter().sum::<u64>());
-        all
+    let print_shares = |phase: &str| {
+        let shares: Vec<u64> = (0..6).map(|node| connection_share(&deployment, node, "g1-a")).collect();
+        println!("{phase:>16} {shares:?} sum {}", shares.iter().sum::<u64>());
+        shares
     };
-    row("idle");
-    t.start_load_in_zone("north", 200, 300.0, secs(10));
-    t.sim.pass(secs(9));
-    row("north busy");
-    t.sim.pass(secs(2));
-    t.start_load_in_zone("mid", 200, 300.0, secs(10));
-    let mut moved = None;
+    print_shares("idle");
+    deployment.start_load_in_zone("north", 200, 300.0, secs(10));
+    deployment.sim.pass(secs(9));
+    print_shares("north busy");
+    deployment.sim.pass(secs(2));
+    deployment.start_load_in_zone("mid", 200, 300.0, secs(10));
+    let mut moved_after_ms = None;
     for i in 0..40 {
-        t.sim.pass(Duration::from_millis(250));
-        if moved.is_none() && share(&t, 1, "g1-a") + share(&t, 4, "g1-a") >= 26 {
-            moved = Some((i + 1) * 250);
+        deployment.sim.pass(Duration::from_millis(250));
+        if moved_after_ms.is_none()
+            && connection_share(&deployment, 1, "g1-a") + connection_share(&deployment, 4, "g1-a") >= 26
+        {
+            moved_after_ms = Some((i + 1) * 250);
         }
     }
-    row("mid busy");
-    println!("seven tenths had moved to mid after {moved:?} ms");
-    t.sim.pass(secs(12));
-    row("idle again");
+    print_shares("mid busy");
+    println!("70 % of the connections had moved to mid after {moved_after_ms:?} ms");
+    deployment.sim.pass(secs(12));
+    print_shares("idle again");
 }
 
-fn count_traffic(town: &Rc<Town>, span: Duration) -> BTreeMap<(String, String), (u64, u64)> {
-    let before = town.sim.write_totals();
-    town.sim.pass(span);
-    let mut after = town.sim.write_totals();
-    for (k, v) in before {
-        let x = after.entry(k).or_default();
-        *x = (x.0 - v.0, x.1 - v.1);
+/// Number of writes and bytes during `duration`, by the process kinds of sender and receiver.
+fn count_traffic(deployment: &Rc<Town>, duration: Duration) -> BTreeMap<(String, String), (u64, u64)> {
+    let before = deployment.sim.write_totals();
+    deployment.sim.pass(duration);
+    let mut after = deployment.sim.write_totals();
+    for (kinds, earlier) in before {
+        let total = after.entry(kinds).or_default();
+        *total = (total.0 - earlier.0, total.1 - earlier.1);
     }
     after
 }
 
-fn sum_traffic(all: &BTreeMap<(String, String), (u64, u64)>, pairs: &[(&str, &str)]) -> (u64, u64) {
-    let hit = |k: &(String, String)| pairs.iter().any(|p| (p.0, p.1) == (k.0.as_str(), k.1.as_str()));
-    all.iter().filter(|(k, _)| hit(k)).fold((0, 0), |a, (_, v)| (a.0 + v.0, a.1 + v.1))
+/// Number of writes and bytes between these pairs of process kinds.
+fn sum_traffic(traffic: &BTreeMap<(String, String), (u64, u64)>, pairs: &[(&str, &str)]) -> (u64, u64) {
+    let is_included =
+        |kinds: &(String, String)| pairs.iter().any(|pair| (pair.0, pair.1) == (kinds.0.as_str(), kinds.1.as_str()));
+    traffic
+        .iter()
+        .filter(|(kinds, _)| is_included(kinds))
+        .fold((0, 0), |sum, (_, total)| (sum.0 + total.0, sum.1 + total.1))
 }
 
+/// Sender and receiver of control messages, as the network names them.
 const CONTROL_TRAFFIC: [(&str, &str); 4] = [("hub", "hub"), ("hub", "spoke"), ("spoke", "hub"), ("spoke", "spoke")];
 
-/// Messages between hubs and spokes, by the number of machines.
+/// Control messages between control nodes and nodes, by the number of machines.
 fn control_traffic() {
     println!(
-        "\ncontrol, no callers: writes and bytes a second between hubs and spokes, all together and for each machine"
+        "\ncontrol, no clients: writes and bytes a second between control nodes and nodes, in total and per machine"
     );
     println!("{:>10}{:>10}{:>12}{:>12}{:>14}", "machines", "writes", "bytes", "writes each", "bytes each");
     for machines in [6, 9, 11, 22, 33, 44] {
-        let t = Town::new(5, Build { machines, cap: 40.max(machines * 4), ..Build::default() });
-        if t.settle(secs(60)).is_err() {
+        let deployment = Town::new(5, Build { machines, cap: 40.max(machines * 4), ..Build::default() });
+        if deployment.settle(secs(60)).is_err() {
             println!("{machines:>10} did not settle");
             continue;
         }
-        t.sim.pass(secs(5));
-        let (n, b) = sum_traffic(&count_traffic(&t, secs(10)), &CONTROL_TRAFFIC);
-        let each = machines as u64 * 10;
-        println!("{machines:>10}{:>10}{:>12}{:>12}{:>14}", n / 10, b / 10, n / each, b / each);
+        deployment.sim.pass(secs(5));
+        let (writes, bytes) = sum_traffic(&count_traffic(&deployment, secs(10)), &CONTROL_TRAFFIC);
+        let machine_seconds = machines as u64 * 10;
+        println!(
+            "{machines:>10}{:>10}{:>12}{:>12}{:>14}",
+            writes / 10,
+            bytes / 10,
+            writes / machine_seconds,
+            bytes / machine_seconds
+        );
     }
 }
 
-/// What a statement and an idle session cost over what runs anyhow.
+/// What a request and an idle session cost in addition to an idle deployment.
 fn request_cost() {
-    println!("\ncost: writes to the network and bytes, over an idle town of nine machines");
+    println!("\ncost: writes to the network and bytes, in addition to an idle deployment of nine machines");
     let idle = |sessions: usize| {
-        let t = Town::new(6, Build { machines: 9, ..Build::default() });
-        let _ = t.settle(secs(60));
-        t.drive(sessions, 0.001, secs(30));
-        t.hold_idle_sessions(sessions);
-        t.sim.pass(secs(5));
-        let polls = t.sim.trace().1;
-        let all = count_traffic(&t, secs(10));
-        (all.values().map(|v| v.0).sum::<u64>(), t.sim.trace().1 - polls)
+        let deployment = Town::new(6, Build { machines: 9, ..Build::default() });
+        let _ = deployment.settle(secs(60));
+        deployment.drive(sessions, 0.001, secs(30));
+        deployment.hold_idle_sessions(sessions);
+        deployment.sim.pass(secs(5));
+        let polls = deployment.sim.trace().1;
+        let traffic = count_traffic(&deployment, secs(10));
+        (traffic.values().map(|total| total.0).sum::<u64>(), deployment.sim.trace().1 - polls)
     };
-    let (none, some) = (idle(1), idle(300));
+    let (one_session, many_sessions) = (idle(1), idle(300));
     println!(
-        "300 idle sessions: {} writes and {} task steps more in 10 s",
-        some.0 as i64 - none.0 as i64,
-        some.1 as i64 - none.1 as i64
+        "300 idle sessions: {} writes and {} task polls more in 10 s",
+        many_sessions.0 as i64 - one_session.0 as i64,
+        many_sessions.1 as i64 - one_session.1 as i64
     );
     for (rate, name) in [(50.0, "50/s"), (450.0, "450/s")] {
-        let t = Town::new(6, Build { machines: 9, cap: 80, ..Build::default() });
-        let _ = t.settle(secs(60));
-        t.sim.pass(secs(5));
-        let base = count_traffic(&t, secs(10));
-        t.drive(300, rate, secs(14));
-        t.sim.pass(secs(2));
-        let before = t.history.events.borrow().len();
-        let (polls, all) = (t.sim.trace().1, count_traffic(&t, secs(10)));
-        let polls = t.sim.trace().1 - polls;
-        let n = (t.history.events.borrow().len() - before).max(1) as f64;
-        for (what, pairs) in [
-            ("callers and spokes", [("desk", "spoke"), ("spoke", "desk")]),
-            ("spokes and servers", [("spoke", "server"), ("server", "spoke")]),
+        let deployment = Town::new(6, Build { machines: 9, cap: 80, ..Build::default() });
+        let _ = deployment.settle(secs(60));
+        deployment.sim.pass(secs(5));
+        let idle_traffic = count_traffic(&deployment, secs(10));
+        deployment.drive(300, rate, secs(14));
+        deployment.sim.pass(secs(2));
+        let before = deployment.history.events.borrow().len();
+        let (polls, traffic) = (deployment.sim.trace().1, count_traffic(&deployment, secs(10)));
+        let polls = deployment.sim.trace().1 - polls;
+        let requests = (deployment.history.events.borrow().len() - before).max(1) as f64;
+        for (peers, pairs) in [
+            ("clients and nodes", [("desk", "spoke"), ("spoke", "desk")]),
+            ("nodes and servers", [("spoke", "server"), ("server", "spoke")]),
         ] {
-            let (a, b) = (sum_traffic(&all, &pairs), sum_traffic(&base, &pairs));
+            let (busy, idle) = (sum_traffic(&traffic, &pairs), sum_traffic(&idle_traffic, &pairs));
             println!(
-                "{name:>6} {what}: {:.2} writes and {:.0} bytes for each request",
-                (a.0 as f64 - b.0 as f64) / n,
-                (a.1 as f64 - b.1 as f64) / n
+                "{name:>6} {peers}: {:.2} writes and {:.0} bytes for each request",
+                (busy.0 as f64 - idle.0 as f64) / requests,
+                (busy.1 as f64 - idle.1 as f64) / requests
             );
         }
-        let (a, b) = (sum_traffic(&all, &CONTROL_TRAFFIC), sum_traffic(&base, &CONTROL_TRAFFIC));
-        println!("{name:>6} hubs and spokes: {} writes a second, {} without callers", a.0 / 10, b.0 / 10);
-        println!("{name:>6} task steps of all processes for each request: {:.0}", polls as f64 / n);
+        let (busy, idle) = (sum_traffic(&traffic, &CONTROL_TRAFFIC), sum_traffic(&idle_traffic, &CONTROL_TRAFFIC));
+        println!("{name:>6} control nodes and nodes: {} writes a second, {} without clients", busy.0 / 10, idle.0 / 10);
+        println!("{name:>6} task polls of all processes for each request: {:.0}", polls as f64 / requests);
     }
 }
 
-/// Prints the figures of docs/measured.md again; `only` one section.
+/// Prints the measurements that docs/measured.md lists, or only the section `only`.
 pub fn figures(only: Option<&str>) {
-    for (name, print) in [("selection", selection as fn()), ("shares", shares), ("control", control_traffic), ("cost", request_cost)] {
-        if only.is_none_or(|o| o == name) {
+    for (section, print) in
+        [("selection", selection as fn()), ("shares", shares), ("control", control_traffic), ("cost", request_cost)]
+    {
+        if only.is_none_or(|only| only == section) {
             print();
         }
     }
--- a/kit/src/sim/mod.rs
+++ b/kit/src/sim/mod.rs
@@ -1,22 +1,25 @@
-//! The simulation: the real tasks on one seeded executor, with virtual time, network and disks.
+//! Deterministic simulation: the tasks of the real programs on one seeded executor, with simulated time, network and disks.
+//!
+//! [`Town`] is a simulated deployment that uses the product's own protocols, [`Hall`] one that uses the platform's. Faults
+//! come from a timeline ([`play`]) or at random ([`swarm`]).
 
 mod core;
+mod deployment;
 mod disk;
-mod measurements;
-mod platform_deployment;
 mod fault_injection;
+mod measurements;
 mod net;
 mod operators;
+mod platform_deployment;
 mod randomized_run;
-mod timeline;
-mod deployment;
 mod runtime;
+mod timeline;
 
 pub use core::{Line, Sim};
-pub use measurements::figures;
-pub use platform_deployment::{AREAS, Build as HallBuild, Hall};
+pub use deployment::{Build, DisabledGuards, Town};
 pub use fault_injection::KINDS;
+pub use measurements::figures;
 pub use operators::Operators;
+pub use platform_deployment::{AREAS, Build as HallBuild, Hall};
 pub use randomized_run::{Draw, Outcome, swarm};
 pub use timeline::{Scene, act, drawn, play};
-pub use deployment::{Build, DisabledGuards, Town};
--- a/kit/src/sim/platform_deployment.rs
+++ b/kit/src/sim/platform_deployment.rs
@@ -1,5 +1,5 @@
-//! A whole deployment under the users' manner in a simulated world: three areas, a hub and some spokes in each, groups of
-//! servers that confirm, callers and an operator, all speaking that manner.
+//! A simulated deployment that uses the platform's protocols: three zones with control nodes and nodes in each, groups of
+//! servers that replicate synchronously, the platform's duty service, clients and an operator.
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,23 +7,26 @@
 
 use super::core::{Line, Sim};
 
-/// How a hall is built.
+/// Size and timing of a [`Hall`].
 #[derive(Clone, Copy, Debug)]
 pub struct Build {
-    /// Machines of each area.
+    /// Number of machines in each zone; each runs a node.
     pub machines: usize,
-    /// Control nodes of each area, on its first machines. The settings name the first one of each area only.
+    /// Number of control nodes in each zone, on its first machines. The settings name only the first of each zone.
     pub hubs: usize,
-    /// How many machines may be lost at once.
+    /// How many machines may fail at the same time.
     pub losses: usize,
+    /// Number of groups, of three servers each.
     pub groups: usize,
-    /// Whether the control node that nobody names is there from the start.
+    /// Whether the spare control node `hx`, which no settings name, runs from the start.
     pub fourth: bool,
-    /// Whether the settings list all areas.
+    /// Whether the settings list all zones.
     pub zones: bool,
-    /// A server that sends no heartbeats until it is told to.
+    /// A server that sends no heartbeats until the action `tell`.
     pub silent: Option<&'static str>,
+    /// Guards that the control nodes run without.
     pub hub: hub::DisabledGuards,
+    /// Guards that the nodes run without.
     pub spoke: spoke::DisabledGuards,
 }
 
@@ -43,247 +46,284 @@
     }
 }
 
-/// The areas.
+/// The names of the zones.
 pub const AREAS: [&str; 3] = ["north", "mid", "south"];
 
+/// What a process runs, with its configuration; `text` is a settings file.
 #[derive(Clone)]
 enum ProcessKind {
-    ControlNode { text: String },
-    Node { text: String },
+    ControlNode {
+        text: String,
+    },
+    Node {
+        text: String,
+    },
     Server(Setup),
+    /// The platform's duty service; its name is `duty`.
     Duty(SocketAddr),
+    /// Runs clients and operators; its name is `desk`.
     ClientHost,
 }
 
 struct Process {
     host: usize,
     kind: ProcessKind,
+    /// Requests an orderly shutdown.
     shutdown: Rc<std::cell::Cell<bool>>,
 }
 
-/// The deployment.
+/// A simulated deployment that uses the platform's protocols.
 pub struct Hall {
     pub sim: Rc<Sim>,
+    /// The data of the servers.
     pub bank: Rc<Bank>,
+    /// What clients observed.
     pub ledger: Rc<Ledger>,
     options: Build,
     processes: RefCell<BTreeMap<String, Process>>,
+    /// Where clients connect to the nodes.
     access_addresses: Vec<SocketAddr>,
-    control: Vec<SocketAddr>,
+    /// Where servers and operators connect to the control nodes.
+    control_addresses: Vec<SocketAddr>,
 }
 
+/// Panics if `ip` is no address.
 fn addr(ip: &str, port: u16) -> SocketAddr {
     format!("{ip}:{port}").parse().expect("an address")
 }
 
 impl Hall {
-    /// A hall with all processes started.
+    /// Creates a deployment and starts all its processes, except the spare control node unless `fourth` is set.
     pub fn new(seed: u64, build: Build) -> Rc<Self> {
-        let listed = |text: String| {
+        let with_zones = |text: String| {
             let text = text + &format!("[resilience]\nmachine_losses = {}\n", build.losses);
             match build.zones {
-                true => AREAS.iter().fold(text + "[zones]\n", |t, a| t + &format!("{a} = \"all\"\n")),
+                true => AREAS.iter().fold(text + "[zones]\n", |text, zone| text + &format!("{zone} = \"all\"\n")),
                 false => text,
             }
         };
         let groups: Vec<(String, Vec<String>)> =
             (0..build.groups).map(|g| (format!("g{g}"), (0..3).map(|i| format!("s{g}{i}")).collect())).collect();
-        let machine = |a: usize, m: usize| format!("10.{}.0.{}", a + 1, m + 1);
-        let seeds: Vec<String> = (0..3).map(|a| machine(a, 0)).collect();
-        let place = addr("10.9.0.1", 80);
-        let all = || (0..3).flat_map(|a| (0..build.machines).map(move |m| (a, m)));
-        let me = Rc::new(Self {
+        let machine_ip = |zone: usize, machine: usize| format!("10.{}.0.{}", zone + 1, machine + 1);
+        let seeds: Vec<String> = (0..3).map(|zone| machine_ip(zone, 0)).collect();
+        let duty_address = addr("10.9.0.1", 80);
+        let machines = || (0..3).flat_map(|zone| (0..build.machines).map(move |machine| (zone, machine)));
+        let deployment = Rc::new(Self {
             sim: Sim::new(seed),
             bank: Bank::new(&groups),
             ledger: Rc::default(),
             options: build,
             processes: RefCell::default(),
-            access_addresses: all().map(|(a, m)| addr(&machine(a, m), 8784)).collect(),
-            control: all().filter(|(_, m)| *m < build.hubs).map(|(a, m)| addr(&machine(a, m), 8782)).collect(),
+            access_addresses: machines().map(|(zone, machine)| addr(&machine_ip(zone, machine), 8784)).collect(),
+            control_addresses: machines()
+                .filter(|(_, machine)| *machine < build.hubs)
+                .map(|(zone, machine)| addr(&machine_ip(zone, machine), 8782))
+                .collect(),
         });
-        let add = |name: &str, area: &str, what: ProcessKind| {
-            let host = me.sim.host(name, area);
-            me.processes.borrow_mut().insert(name.into(), Process { host, kind: what, shutdown: Rc::default() });
+        let add = |name: &str, zone: &str, kind: ProcessKind| {
+            let host = deployment.sim.host(name, zone);
+            deployment.processes.borrow_mut().insert(name.into(), Process { host, kind, shutdown: Rc::default() });
         };
-        add("duty", "duty", ProcessKind::Duty(place));
+        add("duty", "duty", ProcessKind::Duty(duty_address));
         add("desk", "desk", ProcessKind::ClientHost);
-        for (a, m) in all() {
-            let name = format!("{}{m}", AREAS[a]);
-            let text = listed(settings(&name, &machine(a, m), AREAS[a], &seeds, place, m < build.hubs));
-            if m < build.hubs {
-                let hub = if m == 0 { format!("h{a}") } else { format!("h{a}{m}") };
-                add(&hub, AREAS[a], ProcessKind::ControlNode { text: text.clone() });
+        for (zone, machine) in machines() {
+            let name = format!("{}{machine}", AREAS[zone]);
+            let text = with_zones(settings(
+                &name,
+                &machine_ip(zone, machine),
+                AREAS[zone],
+                &seeds,
+                duty_address,
+                machine < build.hubs,
+            ));
+            if machine < build.hubs {
+                let control_node = if machine == 0 { format!("h{zone}") } else { format!("h{zone}{machine}") };
+                add(&control_node, AREAS[zone], ProcessKind::ControlNode { text: text.clone() });
             }
-            add(&format!("n{a}{m}"), AREAS[a], ProcessKind::Node { text });
+            add(&format!("n{zone}{machine}"), AREAS[zone], ProcessKind::Node { text });
         }
-        // An empty machine that may take the place of another control node, at an address that nobody was told.
-        let text = listed(settings("spare", "10.2.0.200", AREAS[1], &seeds, place, true));
+        // A machine without data that can replace another control node, at an address that no settings name.
+        let text = with_zones(settings("spare", "10.2.0.200", AREAS[1], &seeds, duty_address, true));
         add("hx", AREAS[1], ProcessKind::ControlNode { text });
-        for (g, (group, servers)) in groups.iter().enumerate() {
-            for (i, s) in servers.iter().enumerate() {
-                // Each group's first leader stands in another area.
-                let area = (g + i) % 3;
-                let ip = format!("10.{}.64.{}", area + 1, g * 3 + i + 1);
+        for (group_index, (group, servers)) in groups.iter().enumerate() {
+            for (server_index, server) in servers.iter().enumerate() {
+                // The first primary of each group is in another zone.
+                let zone = (group_index + server_index) % 3;
+                let ip = format!("10.{}.64.{}", zone + 1, group_index * 3 + server_index + 1);
                 let setup = Setup {
-                    name: s.clone(),
+                    name: server.clone(),
                     group: group.clone(),
-                    area: AREAS[area].into(),
+                    area: AREAS[zone].into(),
                     addr: addr(&ip, 9000),
-                    nodes: me.control.clone(),
+                    nodes: deployment.control_addresses.clone(),
                     cap: 60,
                     work: Duration::from_millis(3),
                     lag: Duration::from_millis(15),
                 };
-                add(s, AREAS[area], ProcessKind::Server(setup));
+                add(server, AREAS[zone], ProcessKind::Server(setup));
             }
         }
-        if let Some(s) = build.silent {
-            me.bank.copy(s, |c| c.silent = true);
+        if let Some(server) = build.silent {
+            deployment.bank.copy(server, |copy| copy.silent = true);
         }
-        let names: Vec<String> = me.processes.borrow().keys().cloned().collect();
-        for n in &names {
-            if n == "hx" && !build.fourth {
-                me.sim.kill(me.processes.borrow()[n].host, false);
+        let names: Vec<String> = deployment.processes.borrow().keys().cloned().collect();
+        for name in &names {
+            if name == "hx" && !build.fourth {
+                deployment.sim.kill(deployment.processes.borrow()[name].host, false);
             } else {
-                me.launch(n);
+                deployment.launch(name);
             }
         }
-        me
+        deployment
     }
 
+    /// Spawns the main task of a process on its host, which must be up.
     fn launch(&self, name: &str) {
-        let (host, what, leave) = {
-            let mut procs = self.processes.borrow_mut();
-            let p = procs.get_mut(name).expect("a process of the hall");
-            p.shutdown = Rc::default();
-            (p.host, p.kind.clone(), p.shutdown.clone())
+        let (host, kind, shutdown) = {
+            let mut processes = self.processes.borrow_mut();
+            let process = processes.get_mut(name).expect("a process of the deployment");
+            process.shutdown = Rc::default();
+            (process.host, process.kind.clone(), process.shutdown.clone())
         };
         let env = self.sim.env(host);
-        let boot = self.sim.hosts.borrow()[host].boot_id;
-        let (bank, build) = (self.bank.clone(), self.options);
-        let asked = async move |env: &base::Env| {
-            while !leave.get() {
+        let boot_id = self.sim.hosts.borrow()[host].boot_id;
+        let (bank, options) = (self.bank.clone(), self.options);
+        let shutdown_requested = async move |env: &base::Env| {
+            while !shutdown.get() {
                 env.sleep(Duration::from_millis(20)).await;
             }
         };
-        let task: std::pin::Pin<Box<dyn Future<Output = ()>>> = match what {
+        let task: std::pin::Pin<Box<dyn Future<Output = ()>>> = match kind {
             ProcessKind::ClientHost => return,
-            ProcessKind::Duty(at) => Box::pin(duty(env, bank, at, Duration::from_millis(500))),
+            ProcessKind::Duty(address) => Box::pin(duty(env, bank, address, Duration::from_millis(500))),
             ProcessKind::Server(setup) => Box::pin(serve(env, bank, setup)),
             ProcessKind::ControlNode { text } => Box::pin(async move {
-                let given = platform::read(&text, true).expect("settings");
-                let place = given.set.check().expect("settings");
-                let node = match hub::PlatformHub::start(&env, &given, &place, build.hub).await {
-                    Ok(g) => g,
-                    Err(e) => return env.abort_process(&e.to_string()),
+                let settings = platform::read(&text, true).expect("settings");
+                let config = settings.set.check().expect("settings");
+                let node = match hub::PlatformHub::start(&env, &settings, &config, options.hub).await {
+                    Ok(node) => node,
+                    Err(error) => return env.abort_process(&error.to_string()),
                 };
-                asked(&env).await;
+                shutdown_requested(&env).await;
                 node.leave().await;
-                env.abort_process("ended as asked");
+                env.abort_process("has shut down as requested");
             }),
             ProcessKind::Node { text } => Box::pin(async move {
-                let given = platform::read(&text, false).expect("settings");
-                let place = given.set.check().expect("settings");
-                let node = match spoke::PlatformSpoke::start(&env, &given, &place, build.spoke).await {
-                    Ok(g) => g,
-                    Err(e) => return env.abort_process(&e.to_string()),
+                let settings = platform::read(&text, false).expect("settings");
+                let config = settings.set.check().expect("settings");
+                let node = match spoke::PlatformSpoke::start(&env, &settings, &config, options.spoke).await {
+                    Ok(node) => node,
+                    Err(error) => return env.abort_process(&error.to_string()),
                 };
-                asked(&env).await;
+                shutdown_requested(&env).await;
                 node.leave().await;
-                env.abort_process("ended as asked");
+                env.abort_process("has shut down as requested");
             }),
         };
-        self.sim.spawn(host, boot, task);
+        self.sim.spawn(host, boot_id, task);
     }
 
-    /// What callers do in this hall: for each group, reads that must see all, bounded ones, and the session's own.
-    pub fn plans(&self, span: Duration) -> Vec<Plan> {
-        let until = self.sim.now() + span;
+    /// The kinds of clients: for each group, one that reads all acknowledged writes, one that reads with a staleness bound
+    /// of 1500 ms, and one that also reads its own writes, with a bound of 2500 ms. They run for `duration`.
+    pub fn plans(&self, duration: Duration) -> Vec<Plan> {
+        let until = self.sim.now() + duration;
         let kinds = [("all", None), ("old", Some(1500)), ("own", Some(2500))];
-        let one = |g: usize, (kind, ms): (&str, Option<u64>)| Plan {
-            name: format!("{kind}{g}"),
-            group: format!("g{g}"),
-            stale: ms.map(Duration::from_millis),
+        let plan = |group: usize, (kind, stale_ms): (&str, Option<u64>)| Plan {
+            name: format!("{kind}{group}"),
+            group: format!("g{group}"),
+            stale: stale_ms.map(Duration::from_millis),
             nodes: self.access_addresses.clone(),
             pause: Duration::from_millis(25),
             until,
         };
-        (0..self.options.groups).flat_map(|g| kinds.iter().map(move |k| one(g, *k))).collect()
+        (0..self.options.groups).flat_map(|group| kinds.iter().map(move |kind| plan(group, *kind))).collect()
     }
 
-    /// The world as the operators' desk sees it.
+    /// The environment of the host of clients and operators.
     pub fn desk(&self) -> base::Env {
         self.sim.env(self.processes.borrow()["desk"].host)
     }
 
-    /// Where servers and operators come.
+    /// The addresses where servers and operators connect to the control nodes that the deployment started with.
     pub fn control(&self) -> Vec<SocketAddr> {
-        self.control.clone()
+        self.control_addresses.clone()
     }
 
-    /// Starts a task at the desk; it goes on by itself.
+    /// Starts a task on the host of clients and operators, and returns at once.
     pub fn to_desk(&self, task: impl Future<Output = ()> + 'static) {
         let host = self.processes.borrow()["desk"].host;
         self.sim.spawn(host, self.sim.hosts.borrow()[host].boot_id, Box::pin(task));
     }
 
-    /// Sends the first configuration, and waits until it is acknowledged.
+    /// Sends the first configuration, and waits until it is acknowledged, for at most 20 s.
     pub fn open(&self) {
         let env = self.sim.env(self.processes.borrow()["desk"].host);
-        let (nodes, plans) = (self.control.clone(), self.plans(Duration::ZERO));
+        let (nodes, plans) = (self.control_addresses.clone(), self.plans(Duration::ZERO));
         let done = Rc::new(std::cell::Cell::new(false));
-        let told = done.clone();
-        self.to_desk(async move { told.set(configure(&env, &nodes, &plans, 0, 3).await) });
+        let accepted = done.clone();
+        self.to_desk(async move { accepted.set(configure(&env, &nodes, &plans, 0, 3).await) });
         let end = self.sim.now() + Duration::from_secs(20);
         self.sim.run(end, &move || done.get());
     }
 
-    /// Sends the first configuration, and waits until all groups are served.
+    /// Sends the first configuration, and waits 4 s more so that all groups are served.
     pub fn settle(&self) {
         self.open();
         self.sim.pass(Duration::from_secs(4));
     }
 
-    /// Starts callers; they end by themselves.
-    pub fn drive(&self, each: usize, span: Duration) {
+    /// Starts `per_plan` clients of each kind, which run for `duration`.
+    pub fn drive(&self, per_plan: usize, duration: Duration) {
         let host = self.processes.borrow()["desk"].host;
-        for plan in self.plans(span) {
-            for _ in 0..each {
+        for plan in self.plans(duration) {
+            for _ in 0..per_plan {
                 let task = drive(self.sim.env(host), self.ledger.clone(), plan.clone());
                 self.to_desk(task);
             }
         }
     }
 
-    /// The processes that a word of a timeline is about: one, an area, a group's leader (`lead0`), all of them (`all`), or
-    /// those of the product itself (`machines`).
+    /// The processes that a column of a timeline names: a process, a zone, the primary of a group (`lead0`), all processes
+    /// (`all`), or the nodes and control nodes without the spare one (`machines`).
     fn resolve_processes(&self, name: &str) -> Vec<String> {
-        if let Some(g) = name.strip_prefix("lead") {
-            return vec![self.bank.leader(&format!("g{g}"))];
+        if let Some(group) = name.strip_prefix("lead") {
+            return vec![self.bank.leader(&format!("g{group}"))];
         }
-        let procs = self.processes.borrow();
-        if procs.contains_key(name) {
+        let processes = self.processes.borrow();
+        if processes.contains_key(name) {
             return vec![name.into()];
         }
-        let own = |p: &Process| matches!(p.kind, ProcessKind::ControlNode { .. } | ProcessKind::Node { .. });
-        let inside = |n: &str, p: &Process| match name {
+        let is_node =
+            |process: &Process| matches!(process.kind, ProcessKind::ControlNode { .. } | ProcessKind::Node { .. });
+        let is_named = |candidate: &str, process: &Process| match name {
             "all" => true,
-            "machines" => own(p) && n != "hx",
-            area => self.sim.hosts.borrow()[p.host].zone == area,
+            "machines" => is_node(process) && candidate != "hx",
+            zone => self.sim.hosts.borrow()[process.host].zone == zone,
         };
-        let outer = |n: &String| !["duty", "desk"].contains(&n.as_str());
-        procs.iter().filter(|(n, p)| inside(n, p) && outer(n)).map(|(n, _)| n.clone()).collect()
+        let can_fail = |candidate: &String| !["duty", "desk"].contains(&candidate.as_str());
+        processes.iter().filter(|(n, p)| is_named(n, p) && can_fail(n)).map(|(n, _)| n.clone()).collect()
     }
 
-    /// Carries out one word: `kill`, `dark`, `start`, `freeze`, `thaw`, `leave`, `wipe`, `deaf`, `hear`, `mute`, `loud`,
-    /// `silent` and `tell` (heartbeats), `drain`, `shut` and `open` (takes no new sessions), `quit` (leaves in order and ends), `cut>NAME` (one way), `part>NAME`, `heal>NAME`.
-    pub fn act(&self, name: &str, word: &str) {
-        let all = self.resolve_processes(name);
-        let host = |n: &str| self.processes.borrow()[n].host;
-        if let Some((way, to)) = word.split_once('>') {
-            let real = |n: &str| if n.starts_with("lead") { self.resolve_processes(n).remove(0) } else { n.to_string() };
-            let (from, to) = (real(name), real(to));
-            match way {
+    /// Carries out one action of a timeline on a column:
+    ///
+    /// - `.`: none
+    /// - `kill`, `dark` (loses power), `start`, `leave` (shuts down in order), `freeze`, `thaw`, `wipe` (killed, all files
+    ///   removed)
+    /// - of servers: `deaf` and `hear` (receives no replicated entries, receives them), `mute` and `loud` (leaves out one
+    ///   response in 20, none), `silent` and `tell` (sends no heartbeats, sends them), `shut` and `open` (accepts no new
+    ///   sessions, accepts them), `drain`, `quit` (deregisters and ends)
+    /// - `cut>NAME` (this direction), `part>NAME` (both directions), `heal>NAME` (both directions)
+    ///
+    /// Panics on an unknown action.
+    pub fn act(&self, name: &str, action: &str) {
+        let targets = self.resolve_processes(name);
+        let host = |name: &str| self.processes.borrow()[name].host;
+        if let Some((path_action, to)) = action.split_once('>') {
+            let resolve = |column: &str| {
+                if column.starts_with("lead") { self.resolve_processes(column).remove(0) } else { column.to_string() }
+            };
+            let (from, to) = (resolve(name), resolve(to));
+            match path_action {
                 "cut" => self.sim.net.cut_path(&from, &to),
                 "part" => {
                     self.sim.net.cut_path(&from, &to);
@@ -294,86 +334,87 @@
                     self.sim.net.heal_path(&self.sim, &to, &from);
                 }
             }
-            self.sim.log_event(&format!("{from} {way} {to}"));
+            self.sim.log_event(&format!("{from} {path_action} {to}"));
             return;
         }
-        for n in &all {
-            match word {
+        for target in &targets {
+            match action {
                 "." => {}
-                "kill" => self.sim.kill(host(n), false),
-                "dark" => self.sim.kill(host(n), true),
+                "kill" => self.sim.kill(host(target), false),
+                "dark" => self.sim.kill(host(target), true),
                 "wipe" => {
-                    self.sim.kill(host(n), false);
-                    self.sim.files(host(n)).wipe();
+                    self.sim.kill(host(target), false);
+                    self.sim.files(host(target)).wipe();
                 }
-                "start" if !self.sim.is_up(host(n)) => {
-                    self.sim.boot(host(n));
-                    self.launch(n);
+                "start" if !self.sim.is_up(host(target)) => {
+                    self.sim.boot(host(target));
+                    self.launch(target);
                 }
                 "start" => {}
-                "freeze" => self.sim.freeze(host(n)),
-                "thaw" => self.sim.thaw(host(n)),
-                "leave" => self.processes.borrow()[n].shutdown.set(true),
-                "deaf" => drop(self.bank.copy(n, |c| c.deaf = true)),
-                "hear" => drop(self.bank.copy(n, |c| c.deaf = false)),
-                "mute" => drop(self.bank.copy(n, |c| c.mute = 20)),
-                "loud" => drop(self.bank.copy(n, |c| c.mute = 0)),
-                "silent" => drop(self.bank.copy(n, |c| c.silent = true)),
-                "tell" => drop(self.bank.copy(n, |c| c.silent = false)),
-                "shut" => drop(self.bank.copy(n, |c| c.shut = true)),
-                "open" => drop(self.bank.copy(n, |c| c.shut = false)),
+                "freeze" => self.sim.freeze(host(target)),
+                "thaw" => self.sim.thaw(host(target)),
+                "leave" => self.processes.borrow()[target].shutdown.set(true),
+                "deaf" => drop(self.bank.copy(target, |copy| copy.deaf = true)),
+                "hear" => drop(self.bank.copy(target, |copy| copy.deaf = false)),
+                "mute" => drop(self.bank.copy(target, |copy| copy.mute = 20)),
+                "loud" => drop(self.bank.copy(target, |copy| copy.mute = 0)),
+                "silent" => drop(self.bank.copy(target, |copy| copy.silent = true)),
+                "tell" => drop(self.bank.copy(target, |copy| copy.silent = false)),
+                "shut" => drop(self.bank.copy(target, |copy| copy.shut = true)),
+                "open" => drop(self.bank.copy(target, |copy| copy.shut = false)),
                 "quit" => {
                     let env = self.sim.env(self.processes.borrow()["desk"].host);
-                    let (nodes, name) = (self.control.clone(), n.clone());
+                    let (nodes, name) = (self.control_addresses.clone(), target.clone());
                     self.to_desk(async move {
                         platform::stand::quit(&env, &nodes, &name).await;
                     });
-                    self.sim.kill(host(n), false);
+                    self.sim.kill(host(target), false);
                 }
-                "drain" => drop(self.bank.copy(n, |c| c.draining = true)),
-                other => panic!("no word {other:?}"),
+                "drain" => drop(self.bank.copy(target, |copy| copy.draining = true)),
+                other => panic!("no action {other:?}"),
             }
         }
     }
 
-    /// Plays a timeline: the first line names the columns, each further one opens with seconds since the load began.
+    /// Runs a timeline after the first configuration: the first line names the columns after its first word, each further
+    /// line has the seconds since the load began and an action for each column (see [`Hall::act`]).
     pub fn play(&self, text: &str) {
         self.settle();
         self.play_at_once(text);
     }
 
-    /// As [`Hall::play`], in a hall that was opened or settled already.
+    /// As [`Hall::play`], in a deployment that has a configuration already.
     pub fn play_at_once(&self, text: &str) {
         let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
-        let names: Vec<&str> = lines.next().expect("a line of names").split_whitespace().skip(1).collect();
-        let rows: Vec<(f64, Vec<&str>)> = lines
-            .map(|l| {
-                let mut words = l.split_whitespace();
-                (words.next().and_then(|w| w.parse().ok()).expect("seconds open a line"), words.collect())
+        let names: Vec<&str> = lines.next().expect("a line of column names").split_whitespace().skip(1).collect();
+        let steps: Vec<(f64, Vec<&str>)> = lines
+            .map(|line| {
+                let mut actions = line.split_whitespace();
+                (actions.next().and_then(|w| w.parse().ok()).expect("a line starts with seconds"), actions.collect())
             })
             .collect();
-        let end = rows.last().map_or(0.0, |r| r.0);
+        let end = steps.last().map_or(0.0, |r| r.0);
         let start = self.sim.now();
         self.drive(4, Duration::from_secs_f64(end + 8.0));
-        for (at, words) in rows {
+        for (at, actions) in steps {
             self.sim.run(start + Duration::from_secs_f64(at), &|| false);
-            names.iter().zip(words).for_each(|(n, w)| self.act(n, w));
+            names.iter().zip(actions).for_each(|(name, action)| self.act(name, action));
         }
         self.sim.pass(Duration::from_secs(14));
     }
 
-    /// What was found wrong.
+    /// All violations of the guarantees that clients and stand-ins observed.
     pub fn findings(&self) -> Vec<String> {
         self.ledger.findings(&self.bank)
     }
 
-    /// Good answers in each second from `from` on, since the world began.
+    /// The number of successful requests in each second of simulated time in `from..to`.
     pub fn served(&self, from: u64, to: u64) -> Vec<u64> {
-        let all = self.ledger.seconds.borrow();
-        (from..to).map(|s| all.get(&s).copied().unwrap_or(0)).collect()
+        let successes = self.ledger.seconds.borrow();
+        (from..to).map(|second| successes.get(&second).copied().unwrap_or(0)).collect()
     }
 
-    /// The log as text.
+    /// The log as text, one line each: seconds, process, component, message.
     pub fn drawn(&self) -> String {
         let line = |l: &Line| format!("{:>9.3} {:<6} {}: {}\n", l.at.as_secs_f64(), l.who, l.part.prefix(), l.text);
         self.sim.log().iter().map(line).collect()
--- a/kit/src/sim/randomized_run.rs
+++ b/kit/src/sim/randomized_run.rs
@@ -1,167 +1,188 @@
-//! Seeded campaigns: a swarm of faults chosen by the seed, one last blow, and a look whether all is whole again.
+//! Randomized runs: faults chosen by the seed under load, then an outage of all processes, and a check that service recovers
+//! and no guarantee was violated.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use super::{Build, DisabledGuards, KINDS, Town, fault_injection::inject_fault};
 use crate::load::{End, Event, GAVE_UP};
 
-/// What one seed came to.
+/// The result of a randomized run.
 pub struct Outcome {
     pub town: Rc<Town>,
+    /// Violations of the guarantees and of the bounds on service.
     pub findings: Vec<String>,
-    /// Share of work answered as asked while faults were on.
+    /// Share of the requests before the outage that were served, from 0 to 1.
     pub during: f64,
-    /// The same from the back bound on after machines returned.
+    /// Share of the requests that were served from `RECOVERY_BOUND_S` after the outage on.
     pub after: f64,
-    /// Seconds after the machines returned until most was answered, second by second, to the end.
+    /// Seconds after the outage from which on, in every second to the end, at least 90 % of the requests were served.
     pub back: u64,
+    /// Hash over the run; two runs with the same seed have the same.
     pub trace: u64,
-    /// What was done, in order.
+    /// The injected faults in order: seconds since the load began, kind, and target or parameters.
     pub script: Vec<String>,
 }
 
-/// Which faults a run draws.
+/// Which faults a run injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Draw<'a> {
-    /// A few kinds of the seed's own choice.
+    /// Several kinds that the seed selects.
     Any,
-    /// Three of one kind, six seconds apart.
+    /// Three faults of one kind, six seconds apart.
     Only(&'a str),
-    /// One kind on top of another, three times.
+    /// Two kinds shortly after each other, three times.
     Pair(&'a str, &'a str),
 }
 
-/// How soon after it was meant to be sent a request must be answered to count as served.
+/// Within what time after its planned start a request must succeed to count as served.
 const SERVED_WITHIN: Duration = Duration::from_secs(1);
-/// From how long after machines returned service must be up.
+/// Seconds after the outage within which service must have recovered.
 const RECOVERY_BOUND_S: u64 = 12;
-/// How long after the end of a fault everything must be served again.
+/// How long after the end of a fault a request may still fail because of it.
 const FAULT_SETTLE_TIME: Duration = Duration::from_secs(6);
 
-fn was_served(e: &Event) -> bool {
-    e.end == End::Good && e.done - e.meant <= SERVED_WITHIN
+fn was_served(event: &Event) -> bool {
+    event.end == End::Good && event.done - event.meant <= SERVED_WITHIN
 }
 
+/// The share of served requests, from 0 to 1, and the number of requests. Requests that the client gave up are left out.
 fn served_share<'a>(events: impl Iterator<Item = &'a Event>) -> (f64, usize) {
-    let list: Vec<bool> = events.filter(|e| e.end != End::Left && e.note != GAVE_UP).map(was_served).collect();
-    (list.iter().filter(|g| **g).count() as f64 / list.len().max(1) as f64, list.len())
+    let served: Vec<bool> =
+        events.filter(|event| event.end != End::Left && event.note != GAVE_UP).map(was_served).collect();
+    (served.iter().filter(|served| **served).count() as f64 / served.len().max(1) as f64, served.len())
 }
 
-/// Runs one seed. One in eight of those that draw at will has a deployment's own size and load.
-pub fn swarm(seed: u64, tricks: DisabledGuards, draw: Draw) -> Outcome {
+/// Runs one seed. With [`Draw::Any`], one seed in eight uses a deployment of realistic size and load.
+pub fn swarm(seed: u64, disabled_guards: DisabledGuards, draw: Draw) -> Outcome {
     let large = draw == Draw::Any && seed.is_multiple_of(8);
     let machines = if large { [9, 11][seed as usize / 8 % 2] } else { 6 };
     let (sessions, rate) = if large { (300, 450.0) } else { (90, 60.0) };
     let cap = if large { [80, 75][seed as usize / 8 % 2] } else { Build::default().cap };
-    let town = Town::new(seed, Build { tricks, machines, cap, ..Build::default() });
-    let sim = town.sim.clone();
+    let deployment = Town::new(seed, Build { tricks: disabled_guards, machines, cap, ..Build::default() });
+    let sim = deployment.sim.clone();
     let mut script = Vec::new();
     let mut findings = Vec::new();
-    if let Err(e) = town.settle(Duration::from_secs(30)) {
-        findings.push(format!("the town did not come up: {e}"));
+    if let Err(error) = deployment.settle(Duration::from_secs(30)) {
+        findings.push(format!("the deployment did not come up: {error}"));
     }
-    // Swarm: each seed draws its own few kinds, so that runs differ in more than order.
+    // Swarm testing: each seed selects its own few kinds, so that runs differ in more than the order of faults.
     let kinds: Vec<&str> = match draw {
-        Draw::Only(k) => vec![k],
-        Draw::Pair(a, b) => vec![a, b],
-        Draw::Any => KINDS.iter().map(|k| k.0).filter(|_| town.fault_rand_below(4) == 0).collect(),
+        Draw::Only(kind) => vec![kind],
+        Draw::Pair(one, other) => vec![one, other],
+        Draw::Any => KINDS.iter().map(|k| k.0).filter(|_| deployment.fault_rand_below(4) == 0).collect(),
     };
-    if draw == Draw::Any && town.fault_rand_below(3) == 0 {
-        for n in town.process_names().into_iter().filter(|n| n != "desk") {
-            town.set_clock_rate(&n, 980_000 + town.fault_rand_below(40_000));
+    if draw == Draw::Any && deployment.fault_rand_below(3) == 0 {
+        for name in deployment.process_names().into_iter().filter(|n| n != "desk") {
+            deployment.set_clock_rate(&name, 980_000 + deployment.fault_rand_below(40_000));
         }
     }
-    let span = Duration::from_secs(30);
+    let duration = Duration::from_secs(30);
     let start = sim.now();
-    town.drive(sessions, rate, span);
-    let areas = draw == Draw::Any && town.fault_rand_below(2) == 0;
-    town.operate(areas, span);
+    deployment.drive(sessions, rate, duration);
+    let evacuate_zones = draw == Draw::Any && deployment.fault_rand_below(2) == 0;
+    deployment.operate(evacuate_zones, duration);
     let mut faults: Vec<(Duration, Duration)> = Vec::new();
-    let mut hurt = |kind: &str| {
-        let from = sim.now();
-        let done = inject_fault(&town, kind);
-        script.push(format!("{:.1} {kind} {}", (from - start).as_secs_f64(), done.target));
-        faults.push((from, from + done.duration + FAULT_SETTLE_TIME));
+    let mut inject = |kind: &str| {
+        let injected_at = sim.now();
+        let fault = inject_fault(&deployment, kind);
+        script.push(format!("{:.1} {kind} {}", (injected_at - start).as_secs_f64(), fault.details));
+        faults.push((injected_at, injected_at + fault.duration + FAULT_SETTLE_TIME));
     };
     match draw {
-        Draw::Only(k) => (0..3).for_each(|_| {
+        Draw::Only(kind) => (0..3).for_each(|_| {
             sim.pass(Duration::from_secs(6));
-            hurt(k);
+            inject(kind);
         }),
-        Draw::Pair(a, b) => (0..3).for_each(|i| {
-            sim.pass(Duration::from_millis(4000 + town.fault_rand_below(3000)));
-            hurt(if i == 1 { b } else { a });
-            sim.pass(Duration::from_millis(town.fault_rand_below(2500)));
-            hurt(if i == 1 { a } else { b });
+        Draw::Pair(one, other) => (0..3).for_each(|round| {
+            sim.pass(Duration::from_millis(4000 + deployment.fault_rand_below(3000)));
+            inject(if round == 1 { other } else { one });
+            sim.pass(Duration::from_millis(deployment.fault_rand_below(2500)));
+            inject(if round == 1 { one } else { other });
         }),
         Draw::Any => {
-            // One run in three has faults thick and fast, most of them on top of others.
-            let (count, rest) = if town.fault_rand_below(3) == 0 { (10 + town.fault_rand_below(15), 2000) } else { (3 + town.fault_rand_below(6), 5000) };
+            // One run in three has many faults in quick succession, most of which overlap.
+            let (count, max_pause_ms) = if deployment.fault_rand_below(3) == 0 {
+                (10 + deployment.fault_rand_below(15), 2000)
+            } else {
+                (3 + deployment.fault_rand_below(6), 5000)
+            };
             for _ in 0..count {
-                sim.pass(Duration::from_millis(200 + town.fault_rand_below(rest)));
-                if sim.now() > start + span || kinds.is_empty() {
+                sim.pass(Duration::from_millis(200 + deployment.fault_rand_below(max_pause_ms)));
+                if sim.now() > start + duration || kinds.is_empty() {
                     break;
                 }
-                hurt(kinds[town.fault_rand_below(kinds.len() as u64) as usize]);
+                inject(kinds[deployment.fault_rand_below(kinds.len() as u64) as usize]);
             }
         }
     }
-    sim.run(start + span, &|| false);
-    let blow = sim.now();
-    script.push(format!("{:.1} last blow", (blow - start).as_secs_f64()));
-    for n in town.process_names().into_iter().filter(|n| n != "desk" && n != "platform") {
-        if town.fault_rand_below(2) == 0 {
-            town.power_off(&n);
+    sim.run(start + duration, &|| false);
+    let outage_start = sim.now();
+    script.push(format!("{:.1} outage of all processes", (outage_start - start).as_secs_f64()));
+    for name in deployment.process_names().into_iter().filter(|n| n != "desk" && n != "platform") {
+        if deployment.fault_rand_below(2) == 0 {
+            deployment.power_off(&name);
         } else {
-            town.kill(&n);
+            deployment.kill(&name);
         }
     }
-    sim.pass(Duration::from_secs(1 + town.fault_rand_below(3)));
-    town.mend();
-    let mended = sim.now();
-    town.drive(sessions, rate, Duration::from_secs(RECOVERY_BOUND_S + 5));
+    sim.pass(Duration::from_secs(1 + deployment.fault_rand_below(3)));
+    deployment.mend();
+    let repaired_at = sim.now();
+    deployment.drive(sessions, rate, Duration::from_secs(RECOVERY_BOUND_S + 5));
     sim.pass(Duration::from_secs(RECOVERY_BOUND_S + 12));
-    findings.extend(town.findings());
-    let events = town.history.events.borrow();
-    let (during, _) = served_share(events.iter().filter(|e| e.meant < blow));
-    let (after, _) = served_share(events.iter().filter(|e| e.meant >= mended + Duration::from_secs(RECOVERY_BOUND_S)));
-    let seconds: Vec<f64> = (0..RECOVERY_BOUND_S + 5)
-        .map(|s| {
-            let (from, to) = (mended + Duration::from_secs(s), mended + Duration::from_secs(s + 1));
-            served_share(events.iter().filter(|e| e.meant >= from && e.meant < to)).0
+    findings.extend(deployment.findings());
+    let events = deployment.history.events.borrow();
+    let (during, _) = served_share(events.iter().filter(|event| event.meant < outage_start));
+    let (after, _) =
+        served_share(events.iter().filter(|event| event.meant >= repaired_at + Duration::from_secs(RECOVERY_BOUND_S)));
+    let shares: Vec<f64> = (0..RECOVERY_BOUND_S + 5)
+        .map(|second| {
+            let (from, to) = (repaired_at + Duration::from_secs(second), repaired_at + Duration::from_secs(second + 1));
+            served_share(events.iter().filter(|event| event.meant >= from && event.meant < to)).0
         })
         .collect();
-    let back = seconds.iter().rposition(|s| *s < 0.9).map_or(0, |at| at as u64 + 1);
+    let back = shares.iter().rposition(|share| *share < 0.9).map_or(0, |at| at as u64 + 1);
     if back > RECOVERY_BOUND_S {
-        let list: Vec<String> = seconds.iter().map(|s| format!("{:.0}", s * 100.0)).collect();
-        findings.push(format!("service was not back {RECOVERY_BOUND_S} s after machines returned: {} %", list.join(" ")));
+        let percentages: Vec<String> = shares.iter().map(|share| format!("{:.0}", share * 100.0)).collect();
+        findings.push(format!(
+            "service was not back {RECOVERY_BOUND_S} s after machines returned: {} %",
+            percentages.join(" ")
+        ));
     }
-    if let Draw::Only(k) = draw {
-        let floor = KINDS.iter().find(|x| x.0 == k).map_or(0.0, |x| x.1);
+    if let Draw::Only(kind) = draw {
+        let floor = KINDS.iter().find(|known| known.0 == kind).map_or(0.0, |known| known.1);
         if during * 100.0 < floor {
-            findings.push(format!("{:.1} % answered during {k}, where {floor} % belong", during * 100.0));
+            findings.push(format!(
+                "{:.1} % of the requests were served during {kind}, at least {floor} % required",
+                during * 100.0
+            ));
         }
     }
-    // Where no fault is on, nor was lately, nearly all is served: by database, and by the area of the node.
-    let quiet = |e: &&Event| {
-        e.meant < blow - SERVED_WITHIN * 2
-            && !e.note.contains("\"emptied\"")
-            && !areas
-            && faults.iter().all(|(from, to)| e.meant + SERVED_WITHIN < *from || e.meant > *to)
+    // While no fault is active, and none was shortly before, nearly all requests are served: of each database, and at the
+    // nodes of each zone.
+    let without_fault = |event: &&Event| {
+        event.meant < outage_start - SERVED_WITHIN * 2
+            && !event.note.contains("\"emptied\"")
+            && !evacuate_zones
+            && faults.iter().all(|(from, to)| event.meant + SERVED_WITHIN < *from || event.meant > *to)
     };
-    let home: BTreeMap<&str, &str> = town.layout.spokes.iter().map(|m| (m.name.as_str(), m.area.as_str())).collect();
-    let mut parts: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
-    for e in events.iter().filter(quiet) {
-        parts.entry(format!("database {}", e.db)).or_default().push(e);
-        parts.entry(format!("area {}", home.get(e.node.as_str()).unwrap_or(&"none"))).or_default().push(e);
+    let zone_of_node: BTreeMap<&str, &str> =
+        deployment.layout.spokes.iter().map(|m| (m.name.as_str(), m.area.as_str())).collect();
+    let mut events_by_part: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
+    for event in events.iter().filter(without_fault) {
+        events_by_part.entry(format!("database {}", event.db)).or_default().push(event);
+        events_by_part
+            .entry(format!("zone {}", zone_of_node.get(event.node.as_str()).unwrap_or(&"none")))
+            .or_default()
+            .push(event);
     }
-    for (name, list) in parts {
-        let (part, count) = served_share(list.iter().copied());
-        if count >= 40 && part < 0.95 {
-            findings.push(format!("{:.1} % of {count} answered while nothing was wrong: {name}", part * 100.0));
+    for (name, part) in events_by_part {
+        let (share, count) = served_share(part.iter().copied());
+        if count >= 40 && share < 0.95 {
+            findings.push(format!("{:.1} % of {count} served while no fault was active: {name}", share * 100.0));
         }
     }
     drop(events);
     let trace = sim.trace().0;
-    Outcome { town, findings, during, after, back, trace, script }
+    Outcome { town: deployment, findings, during, after, back, trace, script }
 }
--- a/kit/src/sim/runtime.rs
+++ b/kit/src/sim/runtime.rs
@@ -1,13 +1,15 @@
+//! The runtime that a simulated process runs on: its clock, network, disk and log in the simulation.
+
 use std::{cell::RefCell, future::poll_fn, io, net::SocketAddr, rc::Rc, task::Poll, time::Duration};
 
 use base::runtime::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
 use super::{
-    core::{TimerEvent, Line, Sim, scale_duration},
+    core::{Line, Sim, TimerEvent, scale_duration},
     disk::SimDisk,
 };
 
-/// One run of one simulated process.
+/// The [`Runtime`] of one run of a simulated process.
 pub(super) struct HostRuntime {
     pub sim: Rc<Sim>,
     pub host: usize,
@@ -20,16 +22,16 @@
     }
 }
 
-/// Waits for a span of the world's own time.
-pub(super) async fn sleep_sim_time(sim: &Rc<Sim>, span: Duration) {
-    let end = sim.now() + span;
-    let set = RefCell::new(false);
+/// Waits for a duration of simulated time, which no host's clock rate changes.
+pub(super) async fn sleep_sim_time(sim: &Rc<Sim>, duration: Duration) {
+    let wake_at = sim.now() + duration;
+    let timer_set = RefCell::new(false);
     poll_fn(|cx| {
-        if sim.now() >= end {
+        if sim.now() >= wake_at {
             return Poll::Ready(());
         }
-        if !set.replace(true) {
-            sim.schedule(end, TimerEvent::Wake(cx.waker().clone()));
+        if !timer_set.replace(true) {
+            sim.schedule(wake_at, TimerEvent::Wake(cx.waker().clone()));
         }
         Poll::Pending
     })
@@ -41,11 +43,11 @@
         self.sim.hosts.borrow()[self.host].local_time(self.sim.now())
     }
 
-    fn sleep(&self, span: Duration) -> LocalFuture<()> {
+    fn sleep(&self, duration: Duration) -> LocalFuture<()> {
         let sim = self.sim.clone();
-        let span = scale_duration(span, 1_000_000, self.clock_rate_ppm());
-        // Rounded up, so that a clock that runs slow has reached the end when it wakes.
-        Box::pin(async move { sleep_sim_time(&sim, span + Duration::from_nanos(2)).await })
+        let duration = scale_duration(duration, 1_000_000, self.clock_rate_ppm());
+        // Rounded up: the local clock of a slow host must have reached the end when the task wakes.
+        Box::pin(async move { sleep_sim_time(&sim, duration + Duration::from_nanos(2)).await })
     }
 
     fn spawn(&self, task: LocalFuture<()>) {
@@ -57,8 +59,8 @@
     }
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<io::Result<Rc<dyn Listener>>> {
-        let (sim, host, boot) = (self.sim.clone(), self.host, self.boot_id);
-        Box::pin(async move { sim.net.listen(host, boot, addr) })
+        let (sim, host, boot_id) = (self.sim.clone(), self.host, self.boot_id);
+        Box::pin(async move { sim.net.listen(host, boot_id, addr) })
     }
 
     fn connect(&self, addr: SocketAddr) -> LocalFuture<io::Result<Box<dyn Stream>>> {
@@ -77,9 +79,9 @@
 
     fn abort_process(&self, text: &str) {
         self.log(Component::Main, text);
-        let (host, boot) = (self.host, self.boot_id);
+        let (host, boot_id) = (self.host, self.boot_id);
         self.sim.schedule_action(Duration::ZERO, move |sim| {
-            if sim.hosts.borrow()[host].boot_id == boot {
+            if sim.hosts.borrow()[host].boot_id == boot_id {
                 sim.kill(host, false);
             }
         });
--- a/kit/src/sim/timeline.rs
+++ b/kit/src/sim/timeline.rs
@@ -1,151 +1,186 @@
-//! Timelines drawn as text, one column a node.
+//! Timelines: faults at given times, written as a table with one column per process.
 
 use std::{rc::Rc, time::Duration};
 
 use super::{Build, DisabledGuards, Town};
 
-/// What a scene came to.
+/// The result of a timeline.
 pub struct Scene {
     pub town: Rc<Town>,
     pub findings: Vec<String>,
 }
 
-/// Plays a timeline. The first line names the columns; each further one opens with seconds since the town served,
-/// then a word for each column, `.` for nothing. Words: `kill`, `dark`, `start`, `freeze`, `thaw`, `wipe`, `short` (an older copy of its data), `rot`,
-/// `full`, `room`, `mute`, `late` (answers after their due), `reset`, `stall`, `flow`, `sick`, `well`, `drain`, `drained`, `wish` (a planned change of leader), `leave`, `odd` and `even` (started anew with a blueprint bound twenty times as long, or with its own), `cut-short` and `thrice` (callers at that node), `join` and `quit` (a server and its group), `cut>NAMES` (one way), `part>NAMES` (both ways), `heal>NAMES`, `empty`, `back`,
-/// and `fast` or `slow` for its clock. A column may be any process, an area, or `*` (only `mend`).
-pub fn play(seed: u64, tricks: DisabledGuards, text: &str) -> Scene {
+/// Runs a timeline, under load, in a new deployment.
+///
+/// The first line names the columns after its first word. Each further line starts with the seconds since the deployment
+/// serves, followed by an action for each column. A column is a process, a zone, a group (`g1`: its primary at that
+/// time) or `chief` (the leading control node). For `mend` the column makes no difference. The actions:
+///
+/// - `.`: none
+/// - `kill`, `dark` (loses power), `start`, `leave` (shuts down in order), `freeze`, `thaw`
+/// - `wipe`, `short` (an older copy of its data), `rot` (corrupt files): the process is killed first
+/// - `full`, `room`: its disk is full, or has room again
+/// - `fast`, `slow`: its clock runs 4 % fast or slow
+/// - `odd`, `even`: restarted with a `blueprint` bound twenty times as long, or with its own
+/// - `reset`: all its connections are reset
+/// - `cut>NAMES` (this direction), `part>NAMES` (both directions), `heal>NAMES` (both directions); NAMES are processes or
+///   zones, separated by commas
+/// - of servers: `mute` (the next 2 responses are left out), `late` (the next 4 responses exceed the timeout), `stall` and
+///   `flow` (replication stops, resumes), `sick` and `well` (reads fail, succeed), `drain` and `drained`
+/// - of operators: `wish` (requests the server as primary), `join` and `quit` (the server and its group), `empty` and
+///   `back` (a zone)
+/// - of clients at a node: `cut-short` (a request that ends within its body), `thrice` (an attempt that is sent three times)
+/// - `mend`: all faults end
+///
+/// Panics if the deployment does not serve within 30 s, or on an unknown action.
+pub fn play(seed: u64, disabled_guards: DisabledGuards, text: &str) -> Scene {
     let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
-    let names: Vec<&str> = lines.next().expect("a line of names").split_whitespace().skip(1).collect();
-    let town = Town::new(seed, Build { tricks, ..Build::default() });
-    town.settle(Duration::from_secs(30)).unwrap_or_else(|e| panic!("{e}\n{}", drawn(&town)));
-    let rows: Vec<(Duration, Vec<&str>)> = lines
-        .map(|l| {
-            let mut words = l.split_whitespace();
-            let at = words.next().and_then(|w| w.parse().ok()).expect("seconds open a line");
-            (Duration::from_secs_f64(at), words.collect())
+    let names: Vec<&str> = lines.next().expect("a line of column names").split_whitespace().skip(1).collect();
+    let deployment = Town::new(seed, Build { tricks: disabled_guards, ..Build::default() });
+    deployment.settle(Duration::from_secs(30)).unwrap_or_else(|e| panic!("{e}\n{}", drawn(&deployment)));
+    let steps: Vec<(Duration, Vec<&str>)> = lines
+        .map(|line| {
+            let mut actions = line.split_whitespace();
+            let at = actions.next().and_then(|w| w.parse().ok()).expect("a line starts with seconds");
+            (Duration::from_secs_f64(at), actions.collect())
         })
         .collect();
-    let end = rows.last().map_or(Duration::ZERO, |r| r.0);
-    let start = town.sim.now();
-    town.drive(90, 60.0, end + Duration::from_secs(1));
-    town.operate(false, end + Duration::from_secs(1));
-    for (at, words) in rows {
-        town.sim.run(start + at, &|| false);
-        for (name, word) in names.iter().zip(words) {
-            act(&town, name, word);
+    let end = steps.last().map_or(Duration::ZERO, |r| r.0);
+    let start = deployment.sim.now();
+    deployment.drive(90, 60.0, end + Duration::from_secs(1));
+    deployment.operate(false, end + Duration::from_secs(1));
+    for (at, actions) in steps {
+        deployment.sim.run(start + at, &|| false);
+        for (name, action) in names.iter().zip(actions) {
+            act(&deployment, name, action);
         }
     }
-    town.sim.pass(Duration::from_secs(12));
-    town.mend();
-    town.sim.pass(Duration::from_secs(12));
-    let findings = town.findings();
-    Scene { town, findings }
+    deployment.sim.pass(Duration::from_secs(12));
+    deployment.mend();
+    deployment.sim.pass(Duration::from_secs(12));
+    let findings = deployment.findings();
+    Scene { town: deployment, findings }
 }
 
-/// Carries out one word of a timeline.
-pub fn act(town: &Rc<Town>, name: &str, word: &str) {
-    let real = match name {
-        "g1" | "g2" | "g3" => town.leader(name).unwrap_or_default(),
-        "chief" => town.chief().unwrap_or_else(|| "h1".into()),
+/// Carries out one action of a timeline on a column (see [`play`]). Nothing happens if the column is a group without a
+/// primary.
+pub fn act(deployment: &Rc<Town>, name: &str, action: &str) {
+    let target = match name {
+        "g1" | "g2" | "g3" => deployment.leader(name).unwrap_or_default(),
+        "chief" => deployment.chief().unwrap_or_else(|| "h1".into()),
         _ => name.to_string(),
     };
-    if real.is_empty() {
+    if target.is_empty() {
         return;
     }
-    let all = if town.layout.areas.contains(&real) { town.processes_in_zone(&real) } else { vec![real.clone()] };
-    let ways = |list: &str, f: &dyn Fn(&str)| list.split(',').for_each(f);
-    if let Some(to) = word.strip_prefix("cut>") {
-        return ways(to, &|to| town.cut_path(&real, to));
+    let targets = if deployment.layout.areas.contains(&target) {
+        deployment.processes_in_zone(&target)
+    } else {
+        vec![target.clone()]
+    };
+    let for_each_name = |list: &str, run: &dyn Fn(&str)| list.split(',').for_each(run);
+    if let Some(to) = action.strip_prefix("cut>") {
+        return for_each_name(to, &|to| deployment.cut_path(&target, to));
     }
-    if let Some(to) = word.strip_prefix("part>") {
-        return ways(to, &|to| town.cut_both_paths(&real, to));
+    if let Some(to) = action.strip_prefix("part>") {
+        return for_each_name(to, &|to| deployment.cut_both_paths(&target, to));
     }
-    if let Some(to) = word.strip_prefix("heal>") {
-        return ways(to, &|to| {
-            town.heal_path(&real, to);
-            town.heal_path(to, &real);
+    if let Some(to) = action.strip_prefix("heal>") {
+        return for_each_name(to, &|to| {
+            deployment.heal_path(&target, to);
+            deployment.heal_path(to, &target);
         });
     }
-    let server = |f: &dyn Fn(&crate::server::Server)| {
-        all.iter().filter_map(|n| town.servers.borrow().get(n).cloned()).for_each(|s| f(&s));
+    let for_each_server = |run: &dyn Fn(&crate::server::Server)| {
+        targets.iter().filter_map(|n| deployment.servers.borrow().get(n).cloned()).for_each(|server| run(&server));
     };
-    match word {
+    match action {
         "." => {}
-        "kill" => all.iter().for_each(|n| town.kill(n)),
-        "dark" => all.iter().for_each(|n| town.power_off(n)),
-        "start" => all.iter().for_each(|n| town.start(n)),
-        "freeze" => all.iter().for_each(|n| town.freeze(n)),
-        "thaw" => all.iter().for_each(|n| town.thaw(n)),
-        "wipe" => all.iter().for_each(|n| {
-            town.kill(n);
-            town.wipe(n);
+        "kill" => targets.iter().for_each(|n| deployment.kill(n)),
+        "dark" => targets.iter().for_each(|n| deployment.power_off(n)),
+        "start" => targets.iter().for_each(|n| deployment.start(n)),
+        "freeze" => targets.iter().for_each(|n| deployment.freeze(n)),
+        "thaw" => targets.iter().for_each(|n| deployment.thaw(n)),
+        "wipe" => targets.iter().for_each(|n| {
+            deployment.kill(n);
+            deployment.wipe(n);
         }),
-        "short" => all.iter().for_each(|n| {
-            town.kill(n);
-            town.restore_older_copy(n);
+        "short" => targets.iter().for_each(|n| {
+            deployment.kill(n);
+            deployment.restore_older_copy(n);
         }),
-        "rot" => all.iter().for_each(|n| {
-            town.kill(n);
-            town.corrupt_files(n, "");
+        "rot" => targets.iter().for_each(|n| {
+            deployment.kill(n);
+            deployment.corrupt_files(n, "");
         }),
-        "full" => all.iter().for_each(|n| town.set_disk_full(n, true)),
-        "room" => all.iter().for_each(|n| town.set_disk_full(n, false)),
-        "reset" => all.iter().for_each(|n| town.reset_connections(n)),
-        "mute" => server(&|s| s.mute.set(2)),
-        "late" => server(&|s| s.late.set(4)),
-        "sick" => server(&|s| s.sick.set(true)),
-        "well" => server(&|s| s.sick.set(false)),
-        "stall" => server(&|s| s.stalled.set(true)),
-        "flow" => server(&|s| s.stalled.set(false)),
-        "drain" => server(&|s| s.draining.set(true)),
-        "drained" => server(&|s| s.draining.set(false)),
-        "leave" => all.iter().for_each(|n| town.leave(n)),
-        "fast" => all.iter().for_each(|n| town.set_clock_rate(n, 1_040_000)),
-        "slow" => all.iter().for_each(|n| town.set_clock_rate(n, 960_000)),
-        "odd" | "even" => all.iter().for_each(|n| {
-            town.kill(n);
-            town.set_long_bounds(n, word == "odd");
-            town.start(n);
+        "full" => targets.iter().for_each(|n| deployment.set_disk_full(n, true)),
+        "room" => targets.iter().for_each(|n| deployment.set_disk_full(n, false)),
+        "reset" => targets.iter().for_each(|n| deployment.reset_connections(n)),
+        "mute" => for_each_server(&|s| s.mute.set(2)),
+        "late" => for_each_server(&|s| s.late.set(4)),
+        "sick" => for_each_server(&|s| s.sick.set(true)),
+        "well" => for_each_server(&|s| s.sick.set(false)),
+        "stall" => for_each_server(&|s| s.stalled.set(true)),
+        "flow" => for_each_server(&|s| s.stalled.set(false)),
+        "drain" => for_each_server(&|s| s.draining.set(true)),
+        "drained" => for_each_server(&|s| s.draining.set(false)),
+        "leave" => targets.iter().for_each(|n| deployment.request_shutdown(n)),
+        "fast" => targets.iter().for_each(|n| deployment.set_clock_rate(n, 1_040_000)),
+        "slow" => targets.iter().for_each(|n| deployment.set_clock_rate(n, 960_000)),
+        "odd" | "even" => targets.iter().for_each(|n| {
+            deployment.kill(n);
+            deployment.set_long_bounds(n, action == "odd");
+            deployment.start(n);
         }),
-        "cut-short" | "thrice" => town.send_malformed_request(&real, word == "thrice"),
-        "join" => all.iter().for_each(|n| town.change_membership(n, true)),
-        "quit" => all.iter().for_each(|n| town.change_membership(n, false)),
-        "wish" => all.iter().for_each(|n| town.request_handover(n)),
-        "empty" | "back" => set_evacuation(town, &real, word == "empty"),
-        "mend" => town.mend(),
-        other => panic!("no such word in a timeline: {other}"),
+        "cut-short" | "thrice" => deployment.send_malformed_request(&target, action == "thrice"),
+        "join" => targets.iter().for_each(|n| deployment.change_membership(n, true)),
+        "quit" => targets.iter().for_each(|n| deployment.change_membership(n, false)),
+        "wish" => targets.iter().for_each(|n| deployment.request_handover(n)),
+        "empty" | "back" => set_evacuation(deployment, &target, action == "empty"),
+        "mend" => deployment.mend(),
+        other => panic!("no such action in a timeline: {other}"),
     }
 }
 
-fn set_evacuation(town: &Rc<Town>, area: &str, empty: bool) {
-    let (env, layout, words) = (town.desk(), town.layout.clone(), town.words.clone());
-    if !empty {
-        words.taken_back(area, env.now());
+/// Evacuates a zone, or withdraws the evacuation, through random nodes until one accepts it, for at most 10 s.
+fn set_evacuation(deployment: &Rc<Town>, zone: &str, evacuate: bool) {
+    let (env, layout, operator_history) = (deployment.desk(), deployment.layout.clone(), deployment.words.clone());
+    if !evacuate {
+        operator_history.taken_back(zone, env.now());
     }
-    let name = area.to_string();
-    let path = format!("/ops/areas/{area}/{}", if empty { "empty" } else { "take-back" });
-    let done = town.at_desk(Duration::from_secs(10), async move {
+    let zone_name = zone.to_string();
+    let path = format!("/ops/areas/{zone}/{}", if evacuate { "empty" } else { "take-back" });
+    let accepted = deployment.at_desk(Duration::from_secs(10), async move {
         loop {
-            let at = env.rand_below(layout.spokes.len() as u64) as usize;
-            let out = crate::fleet::ask(&env, layout.spokes[at].http, "POST", &path, "").await;
-            if out.is_some_and(|r| r.status == 200) {
-                if empty {
-                    words.emptied(&name, env.now(), Duration::from_secs(5));
+            let index = env.rand_below(layout.spokes.len() as u64) as usize;
+            let response = crate::fleet::ask(&env, layout.spokes[index].http, "POST", &path, "").await;
+            if response.is_some_and(|r| r.status == 200) {
+                if evacuate {
+                    operator_history.emptied(&zone_name, env.now(), Duration::from_secs(5));
                 }
                 return;
             }
             env.sleep(Duration::from_millis(200)).await;
         }
     });
-    town.sim.log_event(&format!("operator: {area} {} {}", if empty { "emptied" } else { "taken back" }, done.is_some()));
+    deployment.sim.log_event(&format!(
+        "operator: {} of {zone} accepted: {}",
+        if evacuate { "evacuation" } else { "end of the evacuation" },
+        accepted.is_some()
+    ));
 }
 
-/// The log of a run, a column for each process that spoke.
-pub fn drawn(town: &Town) -> String {
-    let mut out = String::new();
-    for l in town.sim.log() {
-        out.push_str(&format!("{:>9.3} {:<9} {:>6}: {}\n", l.at.as_secs_f64(), l.who, l.part.prefix(), l.text));
+/// The log of a run as text, one line each: seconds, process, component, message.
+pub fn drawn(deployment: &Town) -> String {
+    let mut text = String::new();
+    for line in deployment.sim.log() {
+        text.push_str(&format!(
+            "{:>9.3} {:<9} {:>6}: {}\n",
+            line.at.as_secs_f64(),
+            line.who,
+            line.part.prefix(),
+            line.text
+        ));
     }
-    out
+    text
 }
