--- a/kit/src/sim/deployment/client_host.rs
+++ b/kit/src/sim/deployment/client_host.rs
@@ -111,7 +111,7 @@
         self.start_load_in_zone("", sessions, rate, duration);
     }
 
-    /// As [`Town::drive`], with clients of one zone only, or of all zones if `zone` is empty.
+    /// As `start_load`, with clients of one zone only, or of all zones if `zone` is empty.
     pub fn start_load_in_zone(&self, zone: &str, sessions: usize, rate: f64, duration: Duration) {
         let plan = Plan {
             nodes: self.layout.nodes().into_iter().filter(|node| zone.is_empty() || node.area == zone).collect(),
--- a/kit/src/sim/deployment/faults.rs
+++ b/kit/src/sim/deployment/faults.rs
@@ -76,15 +76,15 @@
         self.sim.log_for_host(self.host(name), "has an older copy of its disk");
     }
 
-    /// Runs the rescue command on the disk of a control node that is down, with `word` as its argument, and returns the
+    /// Runs the rescue command on the disk of a control node that is down, with one argument, and returns the
     /// command's answer.
-    pub fn rescue(&self, name: &str, word: &str) -> Result<String, String> {
+    pub fn rescue(&self, name: &str, argument: &str) -> Result<String, String> {
         let host = self.host(name);
         let env = self.sim.boot(host);
         let answer = Rc::new(RefCell::new(None));
-        let (task_answer, word) = (answer.clone(), word.to_string());
+        let (task_answer, argument) = (answer.clone(), argument.to_string());
         let boot_id = self.sim.hosts.borrow()[host].boot_id;
-        let task = async move { *task_answer.borrow_mut() = Some(hub::rescue::rescue(&env, &word).await) };
+        let task = async move { *task_answer.borrow_mut() = Some(hub::rescue::rescue(&env, &argument).await) };
         self.sim.spawn(host, boot_id, Box::pin(task));
         self.sim.pass(Duration::from_secs(1));
         self.kill(name);
--- a/kit/src/sim/deployment/guards.rs
+++ b/kit/src/sim/deployment/guards.rs
@@ -40,7 +40,8 @@
         "recall",
     ];
 
-    /// Disables the guard called `name`; `None` if there is no such guard.
+    /// Disables the guard called `name`; `None` if there is no such guard. The field that it sets documents what the
+    /// processes do without the guard.
     pub fn without(name: &str) -> Option<Self> {
         let mut disabled = Self::default();
         let flag = match name {
--- a/kit/src/sim/deployment/mod.rs
+++ b/kit/src/sim/deployment/mod.rs
@@ -27,7 +27,7 @@
     server::{Server, Setup},
 };
 
-/// Size and timing of a [`Town`].
+/// Size and timing of a simulated deployment, and the guards it runs without.
 #[derive(Clone, Copy, Debug)]
 pub struct Build {
     /// Number of machines; each runs a node.
@@ -68,6 +68,7 @@
     ClientHost,
 }
 
+/// A process and its host.
 struct Process {
     host: usize,
     kind: ProcessKind,
--- a/kit/src/sim/deployment/verification.rs
+++ b/kit/src/sim/deployment/verification.rs
@@ -10,7 +10,8 @@
 };
 
 impl Town {
-    /// The control node that logged last that it became the leader. Runs no simulated time.
+    /// The control node that logged last that it became the leader. Unlike
+    /// `leading_control_node`, this sends no requests.
     pub fn control_leader_in_log(&self) -> Option<String> {
         let log_lines = self.sim.log_lines.borrow();
         log_lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.who.clone())
--- a/kit/src/sim/fault_injection.rs
+++ b/kit/src/sim/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Fault injection: the kinds of faults that a randomized run injects into a deployment.
 //!
-//! Targets and durations come from [`Town::fault_rand_below`].
+//! Targets and durations come from `Deployment::fault_rand_below`.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,20 +10,29 @@
 /// Every kind of fault that a run may draw, with the share of requests in percent that must be served within a second
 /// during a run of 30 seconds with three faults of that kind.
 pub const KINDS: [(&str, f64); 45] = [
+    // A server responds after the timeout.
     ("late-answer", 96.0),
+    // A server joins its group, or leaves it.
     ("join", 98.0),
     ("quit", 98.0),
+    // A server restarts without its files, or with an older copy of them.
     ("replace-server", 94.0),
     ("short-server", 94.0),
+    // The same, and then the primary loses power.
     ("replace-then-dark", 80.0),
     ("kill-server", 95.0),
+    // The primary of a group is killed, or loses power.
     ("kill-leader", 94.0),
     ("dark-leader", 87.0),
+    // A process loses power for less than 330 ms.
     ("dark-back", 90.0),
+    // All servers of a group restart.
     ("cold-group", 80.0),
     ("kill-hub", 97.0),
+    // The leading control node loses power.
     ("dark-chief", 97.0),
     ("kill-spoke", 96.0),
+    // An orderly shutdown and a start 6 s later.
     ("restart-hub", 97.0),
     ("restart-spoke", 97.0),
     ("freeze", 90.0),
@@ -31,27 +40,34 @@
     ("rot-hub", 97.0),
     ("full-hub", 97.0),
     ("cut-areas", 88.0),
+    // Two zones are cut off from each other for 5 to 6 s, while the third reaches both.
     ("triangle", 80.0),
+    // A zone is cut off from the other zones and the platform.
     ("island", 70.0),
     ("cut-one-way", 88.0),
     ("dark-area", 70.0),
+    // Of a server: replication stops; reads fail; statements are executed without a response.
     ("stall", 97.0),
     ("sick", 97.0),
     ("mute", 94.0),
     ("drain", 96.0),
     ("cut-process", 94.0),
+    // A process can no longer send to a zone or the clients, but still receives.
     ("half-open", 80.0),
     ("slow", 90.0),
     ("all-hubs", 40.0),
     ("handover", 96.0),
     ("policy", 97.0),
     ("limits", 97.0),
+    // A node runs with a longer `blueprint` bound for 2 s.
     ("odd-bounds", 75.0),
     ("reset", 96.0),
     ("stall-then-dark", 80.0),
+    // A client's connection ends within a request body; a client sends an attempt several times.
     ("caller-cut", 98.0),
     ("twice", 98.0),
     ("empty", 80.0),
+    // Invalid configuration changes; several concurrent ones.
     ("nonsense", 98.0),
     ("race", 98.0),
     ("nothing", 98.0),
@@ -106,7 +122,7 @@
     });
 }
 
-/// Injects one fault of a kind (a name of [`KINDS`]) and schedules its end. An unknown kind injects nothing.
+/// Injects one fault of a kind (a name of `FAULT_KINDS`) and schedules its end. An unknown kind injects nothing.
 pub fn inject_fault(deployment: &Rc<Town>, kind: &str) -> InjectedFault {
     let names =
         |machines: &[crate::fleet::Machine]| -> Vec<String> { machines.iter().map(|m| m.name.clone()).collect() };
--- a/kit/src/sim/mod.rs
+++ b/kit/src/sim/mod.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulation: the tasks of the real programs on one seeded executor, with simulated time, network and disks.
 //!
-//! [`Town`] is a simulated deployment that uses the product's own protocols, [`Hall`] one that uses the platform's. Faults
-//! come from a timeline ([`play`]) or at random ([`swarm`]).
+//! `Deployment` is a simulated deployment that uses the product's own protocols, `PlatformDeployment` one that uses the
+//! platform's. Faults come from a timeline (`run_timeline`) or at random (`run_randomized`).
 
 mod core;
 mod deployment;
@@ -20,6 +20,6 @@
 pub use fault_injection::KINDS;
 pub use measurements::figures;
 pub use operators::Operators;
-pub use platform_deployment::{AREAS, Build as HallBuild, Hall};
+pub use platform_deployment::{AREAS, Hall, PlatformDeploymentOptions as HallBuild};
 pub use randomized_run::{Draw, Outcome, swarm};
 pub use timeline::{Scene, act, drawn, play};
--- a/kit/src/sim/net.rs
+++ b/kit/src/sim/net.rs
@@ -302,6 +302,7 @@
     }
 }
 
+/// The [`Listener`] of a listening address.
 struct SimListener(Rc<BoundListener>);
 
 impl Drop for SimListener {
--- a/kit/src/sim/platform_deployment.rs
+++ b/kit/src/sim/platform_deployment.rs
@@ -7,9 +7,9 @@
 
 use super::core::{Line, Sim};
 
-/// Size and timing of a [`Hall`].
+/// Size of a simulated deployment, and the guards it runs without.
 #[derive(Clone, Copy, Debug)]
-pub struct Build {
+pub struct PlatformDeploymentOptions {
     /// Number of machines in each zone; each runs a node.
     pub machines: usize,
     /// Number of control nodes in each zone, on its first machines. The settings name only the first of each zone.
@@ -30,7 +30,7 @@
     pub spoke: spoke::DisabledGuards,
 }
 
-impl Default for Build {
+impl Default for PlatformDeploymentOptions {
     fn default() -> Self {
         Self {
             machines: 2,
@@ -65,6 +65,7 @@
     ClientHost,
 }
 
+/// A process and its host.
 struct Process {
     host: usize,
     kind: ProcessKind,
@@ -79,7 +80,7 @@
     pub bank: Rc<Bank>,
     /// What clients observed.
     pub ledger: Rc<Ledger>,
-    options: Build,
+    options: PlatformDeploymentOptions,
     processes: RefCell<BTreeMap<String, Process>>,
     /// Where clients connect to the nodes.
     access_addresses: Vec<SocketAddr>,
@@ -94,7 +95,7 @@
 
 impl Hall {
     /// Creates a deployment and starts all its processes, except the spare control node unless `fourth` is set.
-    pub fn new(seed: u64, build: Build) -> Rc<Self> {
+    pub fn new(seed: u64, build: PlatformDeploymentOptions) -> Rc<Self> {
         let with_zones = |text: String| {
             let text = text + &format!("[resilience]\nmachine_losses = {}\n", build.losses);
             match build.zones {
@@ -377,13 +378,13 @@
     }
 
     /// Runs a timeline after the first configuration: the first line names the columns after its first word, each further
-    /// line has the seconds since the load began and an action for each column (see [`Hall::act`]).
+    /// line has the seconds since the load began and an action for each column (see `apply_action`).
     pub fn play(&self, text: &str) {
         self.settle();
         self.play_at_once(text);
     }
 
-    /// As [`Hall::play`], in a deployment that has a configuration already.
+    /// As `run_timeline`, in a deployment that has a configuration already.
     pub fn play_at_once(&self, text: &str) {
         let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
         let names: Vec<&str> = lines.next().expect("a line of column names").split_whitespace().skip(1).collect();
--- a/kit/src/sim/randomized_run.rs
+++ b/kit/src/sim/randomized_run.rs
@@ -41,6 +41,7 @@
 /// How long after the end of a fault a request may still fail because of it.
 const FAULT_SETTLE_TIME: Duration = Duration::from_secs(6);
 
+/// Whether a request succeeded within `SERVED_WITHIN` of its planned start.
 fn was_served(event: &Event) -> bool {
     event.end == End::Good && event.done - event.meant <= SERVED_WITHIN
 }
@@ -52,7 +53,7 @@
     (served.iter().filter(|served| **served).count() as f64 / served.len().max(1) as f64, served.len())
 }
 
-/// Runs one seed. With [`Draw::Any`], one seed in eight uses a deployment of realistic size and load.
+/// Runs one seed. With `Any`, one seed in eight uses a deployment of realistic size and load.
 pub fn swarm(seed: u64, disabled_guards: DisabledGuards, draw: Draw) -> Outcome {
     let large = draw == Draw::Any && seed.is_multiple_of(8);
     let machines = if large { [9, 11][seed as usize / 8 % 2] } else { 6 };
--- a/kit/src/sim/timeline.rs
+++ b/kit/src/sim/timeline.rs
@@ -62,7 +62,7 @@
     Scene { town: deployment, findings }
 }
 
-/// Carries out one action of a timeline on a column (see [`play`]). Nothing happens if the column is a group without a
+/// Carries out one action of a timeline on a column (see `run_timeline`). Nothing happens if the column is a group without a
 /// primary.
 pub fn act(deployment: &Rc<Town>, name: &str, action: &str) {
     let target = match name {
