--- a/kit/src/sim/core.rs
+++ b/kit/src/sim/core.rs
@@ -25,7 +25,7 @@
 /// One log line of a simulated process.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// Simulated time since the start.
+    /// Simulated time at which it was written.
     pub at: Duration,
     /// Name of the process; `-` for the simulation itself.
     pub who: String,
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Simulated time since the start.
+    /// The simulated time, which starts at 1 s.
     pub fn now(&self) -> Duration {
         self.clock.get()
     }
--- a/kit/src/sim/platform_deployment.rs
+++ b/kit/src/sim/platform_deployment.rs
@@ -88,7 +88,7 @@
     control_addresses: Vec<SocketAddr>,
 }
 
-/// Panics if `ip` is no address.
+/// The socket address of an IP address and a port. Panics if `ip` is no address.
 fn addr(ip: &str, port: u16) -> SocketAddr {
     format!("{ip}:{port}").parse().expect("an address")
 }
