--- a/kit/src/sim/fault_injection.rs
+++ b/kit/src/sim/fault_injection.rs
@@ -18,7 +18,7 @@
     // A server restarts without its files, or with an older copy of them.
     ("replace-server", 94.0),
     ("short-server", 94.0),
-    // The same, and then the primary loses power.
+    // A server restarts without its files, and then the primary of its group loses power.
     ("replace-then-dark", 80.0),
     ("kill-server", 95.0),
     // The primary of a group is killed, or loses power.
@@ -62,6 +62,7 @@
     // A node runs with a longer `blueprint` bound for 2 s.
     ("odd-bounds", 75.0),
     ("reset", 96.0),
+    // Replication stops at a server, and then the primary of its group loses power.
     ("stall-then-dark", 80.0),
     // A client's connection ends within a request body; a client sends an attempt several times.
     ("caller-cut", 98.0),
