--- a/kit/src/sim/mod.rs
+++ b/kit/src/sim/mod.rs
@@ -1,22 +1,25 @@
-//! The simulation: the real tasks on one seeded executor, with virtual time, network and disks.
+//! Deterministic simulation: the tasks of the real programs on one seeded executor, with simulated time, network and disks.
+//!
+//! `Deployment` is a simulated deployment that uses the product's own protocols, `PlatformDeployment` one that uses the
+//! platform's. Faults come from a timeline (`run_timeline`) or at random (`run_randomized`).
 
 mod core;
+mod deployment;
 mod disk;
-mod figures;
-mod hall;
-mod harm;
+mod fault_injection;
+mod measurements;
 mod net;
 mod operators;
-mod swarm;
+mod platform_deployment;
+mod randomized_run;
+mod runtime;
 mod timeline;
-mod town;
-mod world;
 
 pub use core::{Line, Sim};
-pub use figures::figures;
-pub use hall::{AREAS, Build as HallBuild, Hall};
-pub use harm::KINDS;
+pub use deployment::{Build, DisabledGuards, Town};
+pub use fault_injection::KINDS;
+pub use measurements::figures;
 pub use operators::Operators;
-pub use swarm::{Draw, Outcome, swarm};
+pub use platform_deployment::{AREAS, Hall, PlatformDeploymentOptions as HallBuild};
+pub use randomized_run::{Draw, Outcome, swarm};
 pub use timeline::{Scene, act, drawn, play};
-pub use town::{Build, DisabledGuards, Town};
