--- a/kit/tests/campaign.rs
+++ b/kit/tests/campaign.rs
@@ -2,7 +2,6 @@
 
 use kit::sim::{Draw, drawn, swarm};
 
-/// Runs with randomly drawn faults give no findings.
 #[test]
 fn the_randomized_runs_are_clean() {
     for seed in 1..=8 {
--- a/kit/tests/duty.rs
+++ b/kit/tests/duty.rs
@@ -30,7 +30,7 @@
 /// Duration of each partition, in seconds.
 const PARTITION_S: f64 = 0.45;
 
-/// The timeline that partitions each control node from the two others during its `PARTITIONS`.
+/// The timeline text that partitions each control node from the two others as `PARTITIONS` states.
 fn timeline() -> String {
     let mut text = String::from("at h0 h1 h2\n");
     for (at, partitioned) in PARTITIONS {
--- a/kit/tests/hall.rs
+++ b/kit/tests/hall.rs
@@ -45,7 +45,7 @@
 fn a_deployment_without_faults_is_served() {
     let deployment = clean(1, "at n00\n5 .");
     let (good, bad) = (deployment.ledger.good.get(), deployment.ledger.bad.get());
-    assert!(good > 500 && bad == 0, "{good} good, {bad} bad\n{}", deployment.drawn());
+    assert!(good > 500 && bad == 0, "{good} successful, {bad} failed requests\n{}", deployment.drawn());
 }
 
 #[test]
@@ -118,7 +118,7 @@
 fn a_refused_connection_attempt_leaves_open_connections_in_use() {
     let deployment = clean(3, "at s00\n2 shut\n7 open");
     let (good, bad) = (deployment.ledger.good.get(), deployment.ledger.bad.get());
-    assert!(bad * 100 < good, "{good} good, {bad} bad\n{}", deployment.drawn());
+    assert!(bad * 100 < good, "{good} successful, {bad} failed requests\n{}", deployment.drawn());
     assert_eq!(deployment.bank.named.get(), 0, "no server may be promoted\n{}", deployment.drawn());
 }
 
--- a/kit/tests/never.rs
+++ b/kit/tests/never.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// A control node starts with a configuration-age bound twenty times as long, could become the leader, and is then
-/// partitioned from the other two, which elect a leader among themselves; an operator evacuates a zone.
+/// A control node starts with a configuration-age bound twenty times as long, is to become the next leader, and is
+/// then partitioned from the other two, which elect a leader among themselves; an operator evacuates a zone.
 #[test]
 fn a_control_node_with_other_bounds_is_excluded() {
     guarded(
