--- a/base/src/boot.rs
+++ b/base/src/boot.rs
@@ -312,12 +312,12 @@
     }
 
     /// Waits for SIGTERM or SIGINT and ignores SIGHUP.
-    pub async fn end(mut self) {
+    pub async fn wait_for_stop(mut self) {
         while !self.next_is_stop().await {}
     }
 
     /// Waits for SIGTERM or SIGINT; calls `reload` at each SIGHUP.
-    pub async fn until_asked(mut self, env: &Env, mut reload: impl FnMut()) {
+    pub async fn wait_for_stop_with_reload(mut self, env: &Env, mut reload: impl FnMut()) {
         while !self.next_is_stop().await {
             reload();
         }
@@ -326,7 +326,12 @@
 
     /// Waits for SIGTERM or SIGINT. At each SIGHUP it reads the settings again and passes valid ones to `apply`, which
     /// returns the names of those that it put in force (for the log).
-    pub async fn until_end(mut self, env: &Env, flags: &Flags, apply: impl Fn(&NodeConfig) -> &'static str) {
+    pub async fn wait_for_stop_rereading_settings(
+        mut self,
+        env: &Env,
+        flags: &Flags,
+        apply: impl Fn(&NodeConfig) -> &'static str,
+    ) {
         while !self.next_is_stop().await {
             match load(flags) {
                 Ok((settings, config)) => {
--- a/base/src/edge/operator.rs
+++ b/base/src/edge/operator.rs
@@ -76,7 +76,7 @@
     }
 
     /// The id by which changes refer to the route: its tag, or else its name.
-    pub fn handle(&self) -> &str {
+    pub fn key(&self) -> &str {
         if self.tag.is_empty() { &self.name } else { &self.tag }
     }
 }
@@ -212,7 +212,7 @@
 const MAX_GROUPS: usize = 1000;
 
 /// Lists all faults of a configuration; empty if it is valid.
-pub fn check(routes: &[Route], groups: &[Group], limits: &Limits) -> Vec<String> {
+pub fn configuration_faults(routes: &[Route], groups: &[Group], limits: &Limits) -> Vec<String> {
     let mut faults = Vec::new();
     if routes.len() > MAX_ROUTES {
         faults.push(format!("doorways: {} of at most {MAX_ROUTES}", routes.len()));
--- a/base/src/http/client.rs
+++ b/base/src/http/client.rs
@@ -105,7 +105,7 @@
 
     /// Connects, sends one request and closes the connection. `timeout` applies to the connect and to the call
     /// separately.
-    pub async fn once(
+    pub async fn connect_and_call(
         env: &Env,
         addr: SocketAddr,
         method: &str,
--- a/base/src/http/server.rs
+++ b/base/src/http/server.rs
@@ -147,7 +147,7 @@
         match select(listener.accept(), pin!(closing)).await {
             Either::Left((Ok(io), _)) => return io,
             Either::Left((Err(e), _)) => {
-                env.log(Component::Door, format!("accepting a connection failed: {e}"));
+                env.log(Component::Endpoint, format!("accepting a connection failed: {e}"));
                 env.sleep(std::time::Duration::from_millis(50)).await;
             }
             Either::Right(_) => drop(slot.borrow_mut().take()),
@@ -166,7 +166,7 @@
     loop {
         let io = accept(&env, &slot, &endpoint).await;
         if endpoint.open_connections.get() >= endpoint.max_connections + MAX_REJECTED_CONNECTIONS {
-            env.log(Component::Door, "too many connections; closed one without a response");
+            env.log(Component::Endpoint, "too many connections; closed one without a response");
             continue;
         }
         let is_full = endpoint.open_connections.get() >= endpoint.max_connections;
--- a/base/src/loop_lag.rs
+++ b/base/src/loop_lag.rs
@@ -22,7 +22,7 @@
     }
 
     /// The delay measured last.
-    pub fn newest(&self) -> Duration {
+    pub fn latest(&self) -> Duration {
         self.latest.get()
     }
 
--- a/base/src/permits.rs
+++ b/base/src/permits.rs
@@ -31,7 +31,7 @@
     }
 
     /// The number of permits in use.
-    pub fn used(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 }
--- a/base/src/protocol/mod.rs
+++ b/base/src/protocol/mod.rs
@@ -17,7 +17,7 @@
     /// Opens a transaction; one that only reads may run on a replica.
     Begin {
         /// Whether the transaction only reads.
-        reads: bool,
+        read_only: bool,
     },
     Commit,
     Rollback,
@@ -39,11 +39,11 @@
     Status,
     /// Sent to servers only: suspends replication until it is resumed, before the election of this epoch.
     SuspendReplication {
-        line: u64,
+        epoch: u64,
     },
     /// Sent to servers only: makes the server a replica if it is the primary of an earlier epoch.
     StepDown {
-        line: u64,
+        epoch: u64,
     },
     /// Sent to servers only: resumes replication.
     ResumeReplication,
--- a/base/src/protocol/server.rs
+++ b/base/src/protocol/server.rs
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
     /// Executed; holds the result tag that the server gave.
-    Done(String),
+    Executed(String),
     /// Not executed.
     Refused(RefusalReason),
     /// Executed and failed.
     Failed,
     /// Executed, and exceeded the time limit at the server.
-    Expired,
+    TimedOut,
 }
 
 /// The replication status that a server reports.
--- a/base/src/runtime/mod.rs
+++ b/base/src/runtime/mod.rs
@@ -14,15 +14,15 @@
 pub enum Component {
     Main,
     Supervisor,
-    Door,
+    Endpoint,
     Pool,
-    Pick,
+    Selection,
     Relay,
-    Agree,
-    Elect,
+    Consensus,
+    Election,
     Lease,
     Disk,
-    Kit,
+    Tools,
 }
 
 impl Component {
@@ -31,15 +31,15 @@
         match self {
             Component::Main => "main",
             Component::Supervisor => "tree",
-            Component::Door => "door",
+            Component::Endpoint => "door",
             Component::Pool => "pool",
-            Component::Pick => "pick",
+            Component::Selection => "pick",
             Component::Relay => "relay",
-            Component::Agree => "agree",
-            Component::Elect => "elect",
+            Component::Consensus => "agree",
+            Component::Election => "elect",
             Component::Lease => "grant",
             Component::Disk => "disk",
-            Component::Kit => "kit",
+            Component::Tools => "kit",
         }
     }
 }
--- a/base/tests/forms.rs
+++ b/base/tests/forms.rs
@@ -5,7 +5,7 @@
     edge::{
         client::Token,
         error_response,
-        operator::{Configuration, ConfigurationChange, Limits, check},
+        operator::{Configuration, ConfigurationChange, Limits, configuration_faults},
     },
     error::WriteOutcome,
     strict,
@@ -52,8 +52,12 @@
     let text = r#"{"doorways":[{"name":"a b","group":"x","promise":"soon"},{"name":"p","group":"g","promise":"any"},
         {"name":"p","group":"g","promise":"any"}],"groups":[{"name":"g","servers":["s","s"],"cap":1}]}"#;
     let configuration: Configuration = strict::read(text.as_bytes()).unwrap();
-    let faults =
-        check(&configuration.doorways, &configuration.groups, &Limits { statement_ms: 1, idle_ms: 10_000 }).join("\n");
+    let faults = configuration_faults(
+        &configuration.doorways,
+        &configuration.groups,
+        &Limits { statement_ms: 1, idle_ms: 10_000 },
+    )
+    .join("\n");
     for part in [
         "\"a b\"",
         "no group \"x\"",
@@ -97,7 +101,11 @@
             text[index] = *byte;
         }
         if let Ok(configuration) = strict::read::<Configuration>(&text) {
-            let _ = check(&configuration.doorways, &configuration.groups, &configuration.limits.unwrap_or_default());
+            let _ = configuration_faults(
+                &configuration.doorways,
+                &configuration.groups,
+                &configuration.limits.unwrap_or_default(),
+            );
         }
     });
 }
--- a/hub/src/consensus/core.rs
+++ b/hub/src/consensus/core.rs
@@ -11,7 +11,10 @@
 use super::{
     images::{RecentImages, SentImage},
     quorum,
-    types::{Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, RequestId, Timing},
+    types::{
+        Clock, DisabledConsensusGuards, Effect, Identity, InheritedLeases, Input, Message, Outcome, PeerHello,
+        RequestId, Timing,
+    },
 };
 use crate::store::{DurableState, Version};
 
@@ -94,7 +97,7 @@
 pub struct Core {
     pub(super) identity: Identity,
     pub(super) timing: Timing,
-    pub(super) guards: Guards,
+    pub(super) guards: DisabledConsensusGuards,
     /// The number of members to reach and keep.
     pub(super) target_members: usize,
     pub(super) durable: Rc<DurableState>,
@@ -136,7 +139,7 @@
         timing: Timing,
         target_members: usize,
         durable: DurableState,
-        guards: Guards,
+        guards: DisabledConsensusGuards,
         now: Duration,
     ) -> Self {
         let mut core = Self {
--- a/hub/src/consensus/election.rs
+++ b/hub/src/consensus/election.rs
@@ -116,7 +116,7 @@
             term: self.durable.term,
             granted,
             incarnation: self.durable.incarnation,
-            empty: self.durable.has_no_image(),
+            has_no_image: self.durable.has_no_image(),
             nonce,
         })));
     }
@@ -125,7 +125,7 @@
     pub(super) fn on_vote_response(&mut self, from: &str, response: VoteResponse) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.incarnation = response.incarnation;
-            peer.has_no_image = response.empty;
+            peer.has_no_image = response.has_no_image;
         }
         self.highest_term_seen = self.highest_term_seen.max(response.term);
         let is_valid_vote = response.granted && self.is_current_member(from, response.incarnation);
--- a/hub/src/consensus/links.rs
+++ b/hub/src/consensus/links.rs
@@ -22,14 +22,14 @@
 impl Consensus {
     /// Records the address of a control node that connected to this one or was reported in a heartbeat; it is dialled
     /// from now on. An invalid address is ignored.
-    pub fn met(&self, address: &str) {
+    pub fn add_discovered(&self, address: &str) {
         if let Ok(address) = address.parse() {
             self.discovered.borrow_mut().insert(address, self.env.now());
         }
     }
 
     /// Keeps a link to every other known control node: seeds in the settings, members and discovered nodes.
-    pub async fn keep_links(self: Rc<Self>) -> Result<(), Infallible> {
+    pub async fn maintain_links(self: Rc<Self>) -> Result<(), Infallible> {
         let mut tasks: BTreeMap<SocketAddr, TaskGuard> = BTreeMap::new();
         loop {
             self.expire_discovered();
@@ -89,17 +89,19 @@
         let mut hello = Hello {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
-            hub: true,
+            is_control_node: true,
             peer: self.identity.address.to_string(),
             boot_id: self.boot_id,
             bounds_digest: self.bounds.digest(),
-            pieces: true,
+            accepts_pieces: true,
             ..Hello::default()
         };
-        self.hello(&mut hello);
+        self.fill_hello(&mut hello);
         output.send(Body::Hello(hello));
         match self.env.timeout(timeout, input.next()).await {
-            Ok(Ok(Body::Hello(h))) if h.hub && self.agrees(&h.name, h.bounds_digest) => Some((h, input, output)),
+            Ok(Ok(Body::Hello(h))) if h.is_control_node && self.has_same_bounds(&h.name, h.bounds_digest) => {
+                Some((h, input, output))
+            }
             _ => None,
         }
     }
@@ -112,15 +114,15 @@
             zone: hello.zone,
             address: hello.peer,
             incarnation: hello.incarnation,
-            has_no_image: hello.empty,
+            has_no_image: hello.has_no_image,
             rescued: hello.rescued,
             may_form: hello.may_form,
-            accepts_deltas: hello.pieces,
+            accepts_deltas: hello.accepts_pieces,
         };
         self.queue(Input::Connected(hello), None);
         loop {
             match self.env.timeout(self.bounds.leader_hold() * SILENT_LINK_HOLDS, input.next()).await {
-                Ok(Ok(body)) => self.frame(&name, body, None),
+                Ok(Ok(body)) => self.on_frame(&name, body, None),
                 Ok(Err(_)) => break,
                 // A follower expects no messages over its outgoing links, so silence is no sign of a broken link.
                 Err(_) if !self.core.borrow().expects_responses() => {}
--- a/hub/src/consensus/mod.rs
+++ b/hub/src/consensus/mod.rs
@@ -19,5 +19,6 @@
 pub use quorum::{has_quorum, is_member};
 pub use service::{Consensus, InputQueue};
 pub use types::{
-    Change, Clock, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, PeerHello, RequestId, Timing,
+    Change, Clock, DisabledConsensusGuards, Effect, Identity, InheritedLeases, Input, Message, Outcome, PeerHello,
+    RequestId, Timing,
 };
--- a/hub/src/consensus/replication.rs
+++ b/hub/src/consensus/replication.rs
@@ -117,7 +117,7 @@
             version_term: version.term,
             version_index: version.index,
             incarnation: self.durable.incarnation,
-            empty: self.durable.has_no_image(),
+            has_no_image: self.durable.has_no_image(),
             accepted,
             leaving: self.leaving,
         })));
@@ -129,7 +129,8 @@
             return;
         }
         self.log(format!("{from} transfers leadership to this node"));
-        self.inherited_leases = Some(InheritedLeases { term: heartbeat.term, at: clock.now, leases: heartbeat.leases });
+        self.inherited_leases =
+            Some(InheritedLeases { term: heartbeat.term, received_at: clock.now, leases: heartbeat.leases });
         self.campaign(clock, true);
     }
 
@@ -142,7 +143,7 @@
             peer.last_ack = None;
         }
         peer.incarnation = ack.incarnation;
-        peer.has_no_image = ack.empty;
+        peer.has_no_image = ack.has_no_image;
         peer.leaving = ack.leaving;
         self.highest_term_seen = self.highest_term_seen.max(ack.term);
         if ack.term > term {
@@ -198,7 +199,7 @@
     fn resolve_pending(&mut self, now: Duration) {
         let Some((committed, image)) = self.committed.clone() else { return };
         let contact = self.quorum_contact(now);
-        let skips_confirmation = self.guards.early_verdict;
+        let skips_confirmation = self.guards.early_result;
         for request in std::mem::take(&mut self.pending_requests) {
             match request {
                 // Returns the request's own image, although a later one may have been committed together with it.
--- a/hub/src/consensus/service.rs
+++ b/hub/src/consensus/service.rs
@@ -20,7 +20,8 @@
 use wire::{Body, Hello, Image, LinkWriter, OutstandingLease};
 
 use super::{
-    Change, Clock, Core, Effect, Guards, Identity, InheritedLeases, Input, Message, Outcome, RequestId, Timing,
+    Change, Clock, Core, DisabledConsensusGuards, Effect, Identity, InheritedLeases, Input, Message, Outcome,
+    RequestId, Timing,
 };
 use crate::store::{DurableState, Store};
 
@@ -49,7 +50,7 @@
     pub(super) core: RefCell<Core>,
     pub(super) queue: mpsc::UnboundedSender<QueuedInput>,
     /// Notified when leadership, the committed image or the contact to a quorum may have changed.
-    pub bell: Notify,
+    pub state_changed: Notify,
     /// Open outgoing links, by the name of the other control node.
     pub(super) links: RefCell<BTreeMap<String, LinkWriter>>,
     /// Addresses of control nodes that connected to this node or were reported in heartbeats, with the time when they
@@ -61,7 +62,7 @@
     last_request_id: Cell<RequestId>,
     tick_queued: Cell<bool>,
     lease_reporter: RefCell<Option<LeaseReporter>>,
-    guards: Guards,
+    guards: DisabledConsensusGuards,
     /// Names of processes whose different bounds were logged already.
     logged_bounds_mismatches: RefCell<BTreeSet<String>>,
 }
@@ -76,7 +77,7 @@
         bounds: Bounds,
         target_members: usize,
         durable: DurableState,
-        guards: Guards,
+        guards: DisabledConsensusGuards,
     ) -> (Rc<Self>, InputQueue) {
         let timing = Timing::from_bounds(&bounds);
         let core = Core::new(identity.clone(), timing, target_members, durable, guards, env.now());
@@ -88,7 +89,7 @@
             boot_id,
             core: RefCell::new(core),
             queue,
-            bell: Notify::default(),
+            state_changed: Notify::default(),
             links: RefCell::default(),
             discovered: RefCell::default(),
             connected: RefCell::default(),
@@ -110,7 +111,7 @@
             }
             let mut save = self.step(|core, clock| core.handle(clock, input));
             while let Some(state) = save {
-                let synced = store.keep(&state).await;
+                let synced = store.save_or_abort(&state).await;
                 save = self.step(|core, clock| core.saved(clock, synced));
             }
             let effects = self.core.borrow_mut().take_effects();
@@ -138,7 +139,7 @@
                     let _ = sender.send(outcome);
                 }
             }
-            Effect::Changed => self.bell.notify_waiters(),
+            Effect::Changed => self.state_changed.notify_waiters(),
             Effect::Log(text) => self.log(text),
         }
     }
@@ -160,7 +161,7 @@
 
     /// Queues a tick for the core periodically. At most one tick is queued, so that they don't pile up while the disk
     /// hangs.
-    pub async fn ticks(self: Rc<Self>) {
+    pub async fn run_ticker(self: Rc<Self>) {
         loop {
             if !self.tick_queued.replace(true) {
                 self.queue(Input::Tick, None);
@@ -171,7 +172,7 @@
     }
 
     /// Queues a frame from another control node, if it is part of the consensus.
-    pub fn frame(&self, from: &str, body: Body, reply: Option<LinkWriter>) {
+    pub fn on_frame(&self, from: &str, body: Body, reply: Option<LinkWriter>) {
         if let Some(message) = Message::from_body(body) {
             self.queue(Input::Message { from: from.into(), message }, reply);
         }
@@ -219,13 +220,13 @@
     /// for at most two call timeouts.
     pub async fn leave(&self) {
         self.queue(Input::Leave, None);
-        let can_end = self.bell.wait_until(|| self.core.borrow().can_shut_down().then_some(()));
+        let can_end = self.state_changed.wait_until(|| self.core.borrow().can_shut_down().then_some(()));
         let _ = self.env.timeout(self.bounds.call_timeout() * 2, can_end).await;
     }
 
     /// Whether this node is the leader with a valid lease: an image of its term is committed, and a quorum acknowledged
     /// a heartbeat that was sent within the leader lease.
-    pub fn leads(&self) -> bool {
+    pub fn leads_with_lease(&self) -> bool {
         self.core.borrow().leads_with_lease(self.env.now())
     }
 
@@ -235,7 +236,7 @@
     }
 
     /// Whether a former leader that this node followed is connected and acknowledges this leader's heartbeats.
-    pub fn earlier_leader_alive(&self) -> bool {
+    pub fn former_leader_follows(&self) -> bool {
         self.core.borrow().former_leader_follows()
     }
 
@@ -256,28 +257,28 @@
     }
 
     /// Sets the function that lists the outstanding leases on groups' primaries; they are sent to the successor.
-    pub fn report_leases(&self, report: impl Fn() -> Vec<OutstandingLease> + 'static) {
+    pub fn set_lease_reporter(&self, report: impl Fn() -> Vec<OutstandingLease> + 'static) {
         *self.lease_reporter.borrow_mut() = Some(Box::new(report));
     }
 
     /// Whether the disk holds no valid image; a rescued image is not valid before the system has formed from it.
-    pub fn empty(&self) -> bool {
+    pub fn has_no_image(&self) -> bool {
         self.core.borrow().durable().has_no_image()
     }
 
     /// Fills in the fields of a `Hello` that describe this control node's disk.
-    pub fn hello(&self, hello: &mut Hello) {
+    pub fn fill_hello(&self, hello: &mut Hello) {
         let core = self.core.borrow();
         let state = core.durable();
         hello.incarnation = state.incarnation;
-        hello.empty = state.has_no_image();
+        hello.has_no_image = state.has_no_image();
         hello.rescued = state.rescued;
         hello.may_form = state.may_form();
     }
 
     /// Whether another process uses the same bounds, which leases and hold times depend on; a digest of 0 (not sent) is
     /// accepted. A difference is logged once per process.
-    pub fn agrees(&self, name: &str, bounds_digest: u64) -> bool {
+    pub fn has_same_bounds(&self, name: &str, bounds_digest: u64) -> bool {
         let is_different = bounds_digest != 0 && bounds_digest != self.bounds.digest() && !self.guards.any_bounds;
         if is_different && self.logged_bounds_mismatches.borrow_mut().insert(name.into()) {
             self.log(format!("{name} uses different bounds; ignoring its messages"));
@@ -289,6 +290,6 @@
     }
 
     fn log(&self, text: impl AsRef<str>) {
-        self.env.log(Component::Agree, text);
+        self.env.log(Component::Consensus, text);
     }
 }
--- a/hub/src/consensus/types.rs
+++ b/hub/src/consensus/types.rs
@@ -49,7 +49,7 @@
 
 /// Safety checks that tests disable to verify that they are needed; `true` disables one. The programs disable none.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Guards {
+pub struct DisabledConsensusGuards {
     /// Count a member in quorums even if its disk was replaced.
     pub any_incarnation: bool,
     /// Keep leading without acknowledgements of a quorum.
@@ -57,7 +57,7 @@
     /// Communicate with processes that use different bounds.
     pub any_bounds: bool,
     /// Return results before the image that they depend on is committed and leadership is confirmed.
-    pub early_verdict: bool,
+    pub early_result: bool,
     /// Change the membership in one step, without a majority of the outgoing members.
     pub no_joint: bool,
     /// Let a node without an image form the first image at any start.
@@ -184,6 +184,6 @@
     /// The term of the leader that reported them.
     pub term: u64,
     /// When the report arrived.
-    pub at: Duration,
+    pub received_at: Duration,
     pub leases: Vec<OutstandingLease>,
 }
--- a/hub/src/forwarding.rs
+++ b/hub/src/forwarding.rs
@@ -76,7 +76,7 @@
 
     /// The path to the leader that is known now.
     fn current_path(&self) -> LeaderPath {
-        if self.consensus.leads() {
+        if self.consensus.leads_with_lease() {
             return LeaderPath::Local;
         }
         match self.relay.tree_position() {
--- a/hub/src/http_endpoint.rs
+++ b/hub/src/http_endpoint.rs
@@ -39,10 +39,10 @@
 
 /// The metrics page.
 fn metrics(relay: &Relay, consensus: &Consensus, lag: &LoopLag) -> HttpResponse {
-    let is_empty = consensus.empty();
+    let is_empty = consensus.has_no_image();
     let sequence = consensus.image().map_or(0, |image| image.sequence);
     metrics::page(&[
-        ("hub_leads", "gauge", "1 while this hub leads for sure", u64::from(consensus.leads())),
+        ("hub_leads", "gauge", "1 while this hub leads for sure", u64::from(consensus.leads_with_lease())),
         ("hub_term", "gauge", "the newest term this hub knows", consensus.term().0),
         ("hub_blank", "gauge", "1 while its disk's memory does not count", u64::from(is_empty)),
         ("hub_sequence", "gauge", "the newest doorway set's sequence, while leading", sequence),
@@ -55,7 +55,7 @@
             "searches for a parent without one",
             relay.search_counters.failed.get(),
         ),
-        ("loop_lag_ms", "gauge", "how late tasks ran when last measured", lag.newest().as_millis() as u64),
+        ("loop_lag_ms", "gauge", "how late tasks ran when last measured", lag.latest().as_millis() as u64),
         ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", lag.worst().as_millis() as u64),
     ])
 }
@@ -63,12 +63,12 @@
 /// The status of this control node, as JSON.
 fn status(relay: &Relay, consensus: &Consensus) -> HttpResponse {
     let (parent, depth) = relay.tree_position();
-    let is_empty = consensus.empty();
+    let is_empty = consensus.has_no_image();
     let text = format!(
         "{{\"name\":\"{}\",\"area\":\"{}\",\"hub\":true,\"leads\":{},\"leader\":\"{}\",\"term\":{},\"blank\":{},\"fed\":{},\"parent\":\"{}\",\"depth\":{},\"children\":{},\"corrupt\":{}}}",
         relay.identity.name,
         relay.identity.zone,
-        consensus.leads(),
+        consensus.leads_with_lease(),
         consensus.leader(),
         consensus.term().0,
         is_empty,
--- a/hub/src/leadership/elections.rs
+++ b/hub/src/leadership/elections.rs
@@ -24,7 +24,7 @@
     /// When the platform accepted a promotion with this term's fencing token; it refuses earlier leaders' calls since
     /// then.
     pub fenced_at: Option<Duration>,
-    /// Servers that an earlier leader may have suspended were told to resume replication.
+    /// Servers that an earlier leader may have suspended were ordered to resume replication.
     pub replicas_resumed: bool,
     /// Whether leases on the primary are granted.
     pub granting: bool,
@@ -123,7 +123,7 @@
     async fn supervise_group(&self, name: String) {
         loop {
             self.env.sleep(self.bounds.control_heartbeat() / 2).await;
-            if !self.consensus.leads() {
+            if !self.consensus.leads_with_lease() {
                 continue;
             }
             let Some(image) = self.consensus.image() else { continue };
@@ -162,7 +162,7 @@
         if !proven {
             if self.is_primary_proven(group, election) {
                 self.log(
-                    Component::Elect,
+                    Component::Election,
                     format!("{} is primary of {} in epoch {}", election.server, group.name, election.epoch),
                 );
                 let now = self.env.now();
@@ -220,7 +220,7 @@
             if leadership.granting != granting {
                 self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
                 self.log(
-                    Component::Elect,
+                    Component::Election,
                     format!("{} {}", election.server, if granting { "is answering again" } else { "is not answering" }),
                 );
             }
@@ -280,7 +280,7 @@
         self.update_group(&group.name, |state| state.less_reachable_since = Some(less_reachable_since));
         if hand_over {
             self.log(
-                Component::Elect,
+                Component::Election,
                 format!(
                     "{primary_count} nodes can't reach {}; more nodes can reach {}",
                     election.server, successor.name
@@ -354,7 +354,7 @@
         for node in self.nodes.borrow().values().filter(|node| !node.is_control_node && node.last_heartbeat > recent) {
             if let Some(observation) = node.observations.get(server) {
                 let age =
-                    (Duration::from_millis(observation.age) + now.saturating_sub(node.last_heartbeat)).min(max_age);
+                    (Duration::from_millis(observation.age_ms) + now.saturating_sub(node.last_heartbeat)).min(max_age);
                 ages.push(if observation.refused { refused_age } else { age });
             }
         }
@@ -399,12 +399,12 @@
             });
             let reason =
                 self.group_leadership.borrow().get(&group.name).map(|state| state.reason.clone()).unwrap_or_default();
-            self.log(Component::Elect, format!("new primary needed for {}: {reason}", group.name));
+            self.log(Component::Election, format!("new primary needed for {}: {reason}", group.name));
             self.relay.request_heartbeats();
             self.state_changed.notify_waiters();
-            while !self.leases.borrow().primary_free(&group.name, self.env.now()) && !self.disabled.no_wait {
+            while !self.leases.borrow().primary_free(&group.name, self.env.now()) && !self.disabled.skip_lease_wait {
                 self.env.sleep(self.bounds.control_heartbeat() / 4).await;
-                if !self.consensus.leads() {
+                if !self.consensus.leads_with_lease() {
                     return;
                 }
             }
@@ -421,14 +421,14 @@
                     self.state_changed.changed_since(self.state_changed.generation()),
                 )
                 .await;
-            if !self.consensus.leads() {
+            if !self.consensus.leads_with_lease() {
                 return;
             }
             let Some(image) = self.consensus.image() else { return };
             let Some(group) = &image.groups.iter().find(|current| current.name == group.name).cloned() else {
                 return;
             };
-            let required = if self.disabled.read_one { 1 } else { self.required_logs(&image, group) };
+            let required = if self.disabled.elect_from_one_log { 1 } else { self.required_logs(&image, group) };
             let candidates = self.candidates(group, &image, since);
             if candidates.len() < required {
                 let reason = format!(
@@ -491,7 +491,7 @@
         };
         let (new_election, log_id, initial_logs) = chosen;
         let (server, epoch) = (&new_election.server, new_election.epoch);
-        self.log(Component::Elect, format!("electing {server} as primary of {} for epoch {epoch}", group.name));
+        self.log(Component::Election, format!("electing {server} as primary of {} for epoch {epoch}", group.name));
         let previous_epoch = previous.map_or(0, |previous| previous.epoch);
         let proposed = new_election.clone();
         let result = self
@@ -517,19 +517,19 @@
     /// Asks the platform to promote the elected server. Safe to repeat.
     async fn request_promotion(&self, group: &str, election: &Election, log_id: u64) {
         let Some(address) = self.platform_address.get() else {
-            self.log(Component::Elect, "no platform address is set; no server can be promoted");
+            self.log(Component::Election, "no platform address is set; no server can be promoted");
             return;
         };
         let body = backend::promotion_body(group, &election.server, election.epoch, log_id, election.start_position());
         let timeout = self.bounds.call_timeout();
-        match Client::once(&self.env, address, "POST", backend::PROMOTION_PATH, &[], body, timeout).await {
+        match Client::connect_and_call(&self.env, address, "POST", backend::PROMOTION_PATH, &[], body, timeout).await {
             Ok(response) if response.status < 300 => {}
             Ok(response) => self.log(
-                Component::Elect,
+                Component::Election,
                 format!("the platform answered {} to the promotion of {}", response.status, election.server),
             ),
             Err(error) => {
-                self.log(Component::Elect, format!("the call to promote {} failed: {error}", election.server))
+                self.log(Component::Election, format!("the call to promote {} failed: {error}", election.server))
             }
         }
     }
--- a/hub/src/leadership/failover.rs
+++ b/hub/src/leadership/failover.rs
@@ -81,7 +81,7 @@
                 ages.push(if observation.refused {
                     refused_age
                 } else {
-                    Duration::from_millis(observation.age) + report_age
+                    Duration::from_millis(observation.age_ms) + report_age
                 });
             }
         }
@@ -117,7 +117,7 @@
             state.reason = reason.into();
         });
         if was_granting {
-            self.log(Component::Elect, format!("leases on the primary of {group} are revoked: {reason}"));
+            self.log(Component::Election, format!("leases on the primary of {group} are revoked: {reason}"));
             self.relay.request_heartbeats();
             self.state_changed.notify_waiters();
         }
@@ -193,7 +193,7 @@
                 state.ignore_reported_leases = false;
             });
             self.log(
-                Component::Elect,
+                Component::Election,
                 format!("{} {}", leadership.server, if granting { "is answering" } else { "is not answering" }),
             );
             self.relay.request_heartbeats();
@@ -229,7 +229,7 @@
             let misses = |node: &super::NodeRecord| {
                 node.observations
                     .get(server)
-                    .is_some_and(|observation| observation.age > max_age_ms || observation.refused)
+                    .is_some_and(|observation| observation.age_ms > max_age_ms || observation.refused)
             };
             nodes.values().filter(|node| !node.is_control_node && node.last_heartbeat > recent && misses(node)).count()
         };
@@ -256,7 +256,7 @@
         self.update_group(&group.name, |state| state.less_reachable_since = Some(less_reachable_since));
         if hand_over {
             self.log(
-                Component::Elect,
+                Component::Election,
                 format!(
                     "{primary_count} nodes can't reach {}; more nodes can reach {}",
                     leadership.server, successor.name
@@ -301,7 +301,8 @@
         let same_primary =
             recorded.as_ref().is_none_or(|election| election.server == primary.name && election.epoch == primary.epoch);
         let leases_released = || {
-            self.leases.borrow().primary_released(&group.name, self.env.now(), same_primary) || self.disabled.no_wait
+            self.leases.borrow().primary_released(&group.name, self.env.now(), same_primary)
+                || self.disabled.skip_lease_wait
         };
         for _ in 0..20 {
             if leases_released() {
@@ -309,7 +310,7 @@
             }
             self.env.sleep(self.bounds.control_heartbeat() / 20).await;
         }
-        if !leases_released() || !self.consensus.leads() {
+        if !leases_released() || !self.consensus.leads_with_lease() {
             return;
         }
         if recorded.is_none_or(|election| election.server != primary.name || election.epoch != primary.epoch)
@@ -318,7 +319,10 @@
             return;
         }
         let now = self.env.now();
-        self.log(Component::Elect, format!("{} is primary of {} in epoch {}", primary.name, group.name, primary.epoch));
+        self.log(
+            Component::Election,
+            format!("{} is primary of {} in epoch {}", primary.name, group.name, primary.epoch),
+        );
         self.update_group(&group.name, |state| {
             state.server.clone_from(&primary.name);
             state.epoch = primary.epoch;
@@ -374,9 +378,9 @@
     /// Whether an earlier leader that is still alive may have promoted a server a moment ago.
     fn in_promoter_change_pause(&self) -> bool {
         let (_, since) = self.consensus.term();
-        !self.disabled.no_duty_rest
+        !self.disabled.no_promoter_change_pause
             && self.env.now() < since + PROMOTER_CHANGE_PAUSE
-            && self.consensus.earlier_leader_alive()
+            && self.consensus.former_leader_follows()
     }
 
     /// Queues a statement for a server, to be sent on this control node's connection to it.
@@ -394,7 +398,7 @@
     fn fencing_token(&self, group: &str, server: &str) -> u64 {
         let mut promotion_counts = self.promotion_counts.borrow_mut();
         let (count, last) = promotion_counts.entry(group.into()).or_default();
-        if last != server && !self.disabled.one_fence {
+        if last != server && !self.disabled.one_fencing_token {
             *count += 1;
             *last = server.into();
         }
@@ -416,12 +420,12 @@
             Ok(status) => {
                 // Only a refusal guarantees that the promotion is not carried out.
                 self.update_group(&group.name, |state| state.promotion_outcome_unknown |= status >= 500);
-                self.log(Component::Elect, format!("the platform answered {status} to the promotion of {server}"));
+                self.log(Component::Election, format!("the platform answered {status} to the promotion of {server}"));
                 Some(status)
             }
             Err(error) => {
                 self.update_group(&group.name, |state| state.promotion_outcome_unknown = true);
-                self.log(Component::Elect, format!("the call to promote {server} failed: {error}"));
+                self.log(Component::Election, format!("the call to promote {server} failed: {error}"));
                 None
             }
         }
@@ -430,7 +434,7 @@
     /// Suspends replication on these servers and waits until each has confirmed it. Returns the highest position among
     /// them, or nothing after the timeout.
     async fn suspend_all(&self, names: &[String], epoch: u64, timeout: Duration) -> Option<Position> {
-        names.iter().for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
+        names.iter().for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { epoch }));
         self.urgent_until.set(self.env.now() + timeout);
         let all_suspended = self.state_changed.wait_until(|| {
             let server_statuses = self.server_statuses.borrow();
@@ -471,8 +475,8 @@
         }
         self.update_group(&group.name, |state| state.waits_for_membership = false);
         let epoch = self.highest_epoch(group) + 1;
-        self.log(Component::Elect, format!("new primary needed for {}", group.name));
-        if self.disabled.no_hold {
+        self.log(Component::Election, format!("new primary needed for {}", group.name));
+        if self.disabled.no_replication_suspension {
             let is_responding = |server: &&String| {
                 self.server_statuses.borrow().get(*server).is_some_and(|status| status.unanswered_since.is_none())
             };
@@ -485,9 +489,7 @@
         }
         if lost.is_empty() {
             // The previous primary is unknown, so all servers but one must answer.
-            others
-                .iter()
-                .for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { line: epoch }));
+            others.iter().for_each(|server| self.queue_order(server, StatementKind::SuspendReplication { epoch }));
             self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
             self.env.sleep(self.bounds.server_gone_after()).await;
             let suspended = others
@@ -505,7 +507,7 @@
             });
             let missing: Vec<_> = missing.cloned().collect();
             self.log(
-                Component::Elect,
+                Component::Election,
                 format!("{} can't be read; no primary for {} yet", missing.join(" "), group.name),
             );
             if self.unanswered_for(lost) < self.bounds.server_missed_after() {
@@ -513,17 +515,17 @@
             }
             return;
         }
-        if !self.consensus.leads() {
+        if !self.consensus.leads_with_lease() {
             return;
         }
         if self.unanswered_for(lost) < self.bounds.server_missed_after() && !lost.is_empty() {
-            self.log(Component::Elect, format!("{lost} answers again"));
+            self.log(Component::Election, format!("{lost} answers again"));
             return self.resume_all(&others);
         }
         if !self.is_membership_settled(group) {
             // A server that registered meanwhile has to be suspended and read too.
             return self
-                .log(Component::Elect, format!("the servers of {} changed; its election starts again", group.name));
+                .log(Component::Election, format!("the servers of {} changed; its election starts again", group.name));
         }
         let best = {
             let server_statuses = self.server_statuses.borrow();
@@ -540,7 +542,7 @@
             suspended_servers.max_by_key(|(server, status)| (status.position, eligible(server))).map(|best| best.0)
         };
         let Some(best) = best else { return };
-        self.log(Component::Elect, format!("promoting {best} in {}", group.name));
+        self.log(Component::Election, format!("promoting {best} in {}", group.name));
         if self.promote(group, &best).await != Some(200) {
             return;
         }
@@ -550,7 +552,7 @@
     /// Records that an election waits until the list of a group's servers is complete.
     fn wait_for_membership(&self, group: &str) {
         if !self.leadership_of(group).waits_for_membership {
-            self.log(Component::Elect, format!("{group}: a server may not be registered yet; no election"));
+            self.log(Component::Election, format!("{group}: a server may not be registered yet; no election"));
         }
         self.update_group(group, |state| state.waits_for_membership = true);
     }
@@ -569,7 +571,7 @@
         let wait = self.state_changed.wait_until(|| is_primary(server).then_some(()));
         let became_primary = self.env.timeout(timeout, wait).await.is_ok();
         if !became_primary {
-            self.log(Component::Elect, format!("{server} is not primary of {} yet", group.name));
+            self.log(Component::Election, format!("{server} is not primary of {} yet", group.name));
         }
         became_primary
     }
@@ -592,7 +594,7 @@
             .max_by_key(|status| (status.position, std::cmp::Reverse(status.cold_step)));
         let Some(next) = next else { return };
         let epoch = self.highest_epoch(group) + 1;
-        self.log(Component::Elect, format!("{from} hands {} over to {}", group.name, next.name));
+        self.log(Component::Election, format!("{from} hands {} over to {}", group.name, next.name));
         self.transfer_primary(group, from, &next.name, epoch).await;
     }
 
@@ -601,19 +603,19 @@
     /// list of servers: one that has not registered yet may replicate already.
     async fn transfer_primary(&self, group: &Group, from: &str, next: &str, epoch: u64) {
         self.update_group(&group.name, |state| state.requested_primary = None);
-        if self.disabled.any_list {
+        if self.disabled.any_membership {
             // Without the guard, tests observe what happens to commits that an unregistered server confirmed.
             self.promote(group, next).await;
             self.await_primary(group, next, epoch).await;
             return;
         }
-        self.queue_order(from, StatementKind::StepDown { line: epoch });
+        self.queue_order(from, StatementKind::StepDown { epoch });
         self.urgent_until.set(self.env.now() + self.bounds.server_gone_after());
         let suspended_status =
             |name: &str| self.server_statuses.borrow().get(name).and_then(|status| status.suspended_status);
         let wait = self.state_changed.wait_until(|| suspended_status(from));
         let Ok(final_status) = self.env.timeout(self.bounds.server_missed_after(), wait).await else {
-            self.log(Component::Elect, format!("{from} did not confirm that it stepped down"));
+            self.log(Component::Election, format!("{from} did not confirm that it stepped down"));
             // The statement must not be sent later.
             return self.cancel_order(from);
         };
@@ -627,7 +629,7 @@
         let wait = self.state_changed.wait_until(|| has_caught_up().then_some(()));
         let caught_up = self.env.timeout(self.bounds.server_missed_after() / 2, wait).await.is_ok();
         let name = if caught_up { next } else { from };
-        self.log(Component::Elect, format!("{from} stepped down; promoting {name} in {}", group.name));
+        self.log(Component::Election, format!("{from} stepped down; promoting {name} in {}", group.name));
         if self.promote(group, name).await == Some(200) {
             self.await_primary(group, name, epoch).await;
         }
--- a/hub/src/leadership/log_membership.rs
+++ b/hub/src/leadership/log_membership.rs
@@ -69,7 +69,7 @@
                 record.since = sample.received_at;
                 record.target = None;
                 record.lost_since_admission = Some(entry.map_or(0, |log| log.admission));
-                self.log(Component::Elect, format!("{server} went back to {} in its log", sample.position));
+                self.log(Component::Election, format!("{server} went back to {} in its log", sample.position));
             }
         }
         self.log_samples.borrow_mut().insert(server.into(), sample);
@@ -88,7 +88,7 @@
 
     /// Whether a server's log counts towards the quorum.
     pub(super) fn counts_towards_quorum(&self, image: &Image, server: &str) -> bool {
-        if self.disabled.no_roll {
+        if self.disabled.count_any_log {
             return true;
         }
         let Some(log) = image.log(server) else { return false };
@@ -168,7 +168,7 @@
         loop {
             self.env.sleep(self.bounds.control_heartbeat()).await;
             let Some(image) = self.consensus.image() else { continue };
-            if !self.consensus.leads() {
+            if !self.consensus.leads_with_lease() {
                 continue;
             }
             for group in &image.groups {
@@ -190,7 +190,7 @@
                     })
                     .await;
                 if result.is_ok() {
-                    self.log(Component::Elect, text);
+                    self.log(Component::Election, text);
                     self.publish();
                 }
                 break;
--- a/hub/src/leadership/membership.rs
+++ b/hub/src/leadership/membership.rs
@@ -21,7 +21,7 @@
 impl Leadership {
     /// Whether an election may rely on the list: it was found complete, and no unregistered server has reported itself.
     pub(super) fn is_membership_settled(&self, group: &Group) -> bool {
-        if self.disabled.any_list {
+        if self.disabled.any_membership {
             return true;
         }
         let Some(image) = self.consensus.image() else { return false };
--- a/hub/src/leadership/mod.rs
+++ b/hub/src/leadership/mod.rs
@@ -144,9 +144,11 @@
             disabled,
         });
         let weak = Rc::downgrade(&leadership);
-        leadership.consensus.report_leases(move || {
+        leadership.consensus.set_lease_reporter(move || {
             let leadership = weak.upgrade();
-            leadership.map(|leadership| leadership.leases.borrow().left(leadership.env.now())).unwrap_or_default()
+            leadership
+                .map(|leadership| leadership.leases.borrow().outstanding_primary_leases(leadership.env.now()))
+                .unwrap_or_default()
         });
         leadership
     }
@@ -155,7 +157,7 @@
     /// longer is.
     pub async fn run(self: Rc<Self>) -> Result<(), std::convert::Infallible> {
         loop {
-            self.consensus.bell.wait_until(|| self.consensus.leads().then_some(())).await;
+            self.consensus.state_changed.wait_until(|| self.consensus.leads_with_lease().then_some(())).await;
             let (term, _) = self.consensus.term();
             self.begin_term(term);
             self.relay.urgent_heartbeat.notify_waiters();
@@ -174,7 +176,7 @@
             let leadership = self.clone();
             let publishing = self.env.spawn(async move { leadership.publish_batches().await });
             self.consensus
-                .bell
+                .state_changed
                 .wait_until(|| (self.consensus.image().is_none() || self.consensus.term().0 != term).then_some(()))
                 .await;
             drop((sampling, groups, silence, log_membership, registration, elections, publishing));
@@ -187,13 +189,13 @@
     fn begin_term(&self, term: u64) {
         self.term.set(term);
         // Snapshot versions rise within a term, whatever was published in it before.
-        let before = self.relay.latest().filter(|snapshot| snapshot.version.term == term);
+        let before = self.relay.latest_snapshot().filter(|snapshot| snapshot.version.term == term);
         self.snapshot_count.set(before.map_or(0, |snapshot| snapshot.version.count));
         self.publish_overdue.set(false);
         self.unpublished.set(false);
         let expiry = self.env.now() + self.bounds.lease_expiry_wait();
         *self.leases.borrow_mut() = match self.consensus.inherited_leases() {
-            Some(inherited) => LeaseTable::inherit(expiry, inherited.at, &inherited.leases),
+            Some(inherited) => LeaseTable::inherit(expiry, inherited.received_at, &inherited.leases),
             None => LeaseTable::new(expiry),
         };
         self.group_leadership.borrow_mut().clear();
@@ -210,7 +212,7 @@
         let now = self.env.now();
         let mut servers = self.servers.borrow_mut();
         servers.clear();
-        if let Some(snapshot) = self.relay.latest() {
+        if let Some(snapshot) = self.relay.latest_snapshot() {
             servers.extend(
                 snapshot.servers.iter().map(|server| (server.name.clone(), ServerRecord::from_snapshot(server, now))),
             );
@@ -237,7 +239,7 @@
     /// Publishes a snapshot of the current state to all nodes.
     pub fn publish(&self) {
         let Some(image) = self.consensus.image() else { return };
-        self.publish_overdue.set(!self.consensus.leads());
+        self.publish_overdue.set(!self.consensus.leads_with_lease());
         if self.publish_overdue.get() {
             return;
         }
@@ -341,10 +343,10 @@
     /// Handles a node's heartbeat and returns the acknowledgement with the leases granted to the node. Returns nothing
     /// if this control node doesn't lead or if the node runs with other bounds.
     pub fn on_heartbeat(&self, heartbeat: NodeHeartbeat) -> Option<NodeHeartbeatAck> {
-        if !self.consensus.leads() || self.term.get() != self.consensus.term().0 {
+        if !self.consensus.leads_with_lease() || self.term.get() != self.consensus.term().0 {
             return None;
         }
-        if !self.consensus.agrees(&heartbeat.name, heartbeat.bounds_digest) {
+        if !self.consensus.has_same_bounds(&heartbeat.name, heartbeat.bounds_digest) {
             return None;
         }
         let image = self.consensus.image()?;
@@ -359,11 +361,11 @@
                 nodes.remove(&heartbeat.name);
             }
         }
-        self.leases.borrow_mut().told(&heartbeat, now);
-        if heartbeat.hub {
-            self.consensus.met(&heartbeat.peer);
+        self.leases.borrow_mut().record_heartbeat(&heartbeat, now);
+        if heartbeat.is_control_node {
+            self.consensus.add_discovered(&heartbeat.peer);
         }
-        if heartbeat.hub || heartbeat.leaving {
+        if heartbeat.is_control_node || heartbeat.leaving {
             return Some(self.acknowledgement(&heartbeat, Vec::new(), Vec::new()));
         }
         self.adopt_reported_leases(&heartbeat, &image);
@@ -400,7 +402,7 @@
         now: Duration,
     ) -> Vec<wire::PrimaryLeaseGrant> {
         let group_leadership = self.group_leadership.borrow();
-        let holder = Holder { node: &heartbeat.name, boot: heartbeat.boot_id, nonce: heartbeat.nonce };
+        let holder = Holder { node: &heartbeat.name, boot_id: heartbeat.boot_id, nonce: heartbeat.nonce };
         let mut leases = Vec::new();
         for (group, leadership) in group_leadership.iter().filter(|(_, leadership)| leadership.granting) {
             let server = match image.groups.iter().find(|candidate| candidate.name == *group) {
@@ -410,7 +412,7 @@
                     _ => continue,
                 },
             };
-            self.leases.borrow_mut().give_primary(group, holder, now + self.bounds.lease_expiry_wait());
+            self.leases.borrow_mut().grant_primary(group, holder, now + self.bounds.lease_expiry_wait());
             leases.push(wire::PrimaryLeaseGrant {
                 group: group.clone(),
                 server,
@@ -425,17 +427,17 @@
     fn grant_shares(&self, heartbeat: &NodeHeartbeat, image: &Image, now: Duration) -> Vec<wire::ShareGrant> {
         let mut grants = Vec::new();
         let mut table = self.leases.borrow_mut();
-        let holder = Holder { node: &heartbeat.name, boot: heartbeat.boot_id, nonce: heartbeat.nonce };
+        let holder = Holder { node: &heartbeat.name, boot_id: heartbeat.boot_id, nonce: heartbeat.nonce };
         let until = now + self.bounds.lease_expiry_wait();
         for group in &image.groups {
             for server in &group.servers {
                 let cold = self.servers.borrow().get(server).map_or(0.0, |record| record.cold);
-                let cold = if self.disabled.no_ramp { 0.0 } else { cold };
+                let cold = if self.disabled.no_warm_up { 0.0 } else { cold };
                 let cap = leases::shareable_connections(group.cap, cold);
-                let leases::Share { count, scarce, sharers } = match self.disabled.no_ledger {
+                let leases::Share { count, scarce, sharers } = match self.disabled.ignore_outstanding_shares {
                     true => leases::Share { count: cap, scarce: false, sharers: 1 },
                     // A cold server's reduced cap is what it can handle; the server itself enforces only its full cap.
-                    false => table.share(server, holder, cap, now, until, group.confirms && cold == 0.0),
+                    false => table.grant_share(server, holder, cap, now, until, group.confirms && cold == 0.0),
                 };
                 let valid_ms = self.bounds.lease_duration().as_millis() as u64;
                 grants.push(wire::ShareGrant { server: server.clone(), count, valid_ms, scarce, sharers });
--- a/hub/src/leadership/registration.rs
+++ b/hub/src/leadership/registration.rs
@@ -34,14 +34,14 @@
         loop {
             self.env.sleep(self.bounds.control_heartbeat() / 2).await;
             let Some(image) = self.consensus.image() else { continue };
-            if !self.consensus.leads() {
+            if !self.consensus.leads_with_lease() {
                 continue;
             }
             let open = || image.groups.iter().filter(|group| group.confirms);
             if let Some((group, removable)) = open().find_map(|group| self.removable_server(group)) {
                 let text = format!("{removable} has left {group}: the remaining servers hold all that it held");
                 if self.consensus.propose(move |image| remove_server(image, &group, &removable)).await.is_ok() {
-                    self.log(Component::Elect, text);
+                    self.log(Component::Election, text);
                     self.publish_soon();
                 }
                 continue;
@@ -57,7 +57,7 @@
             }));
             let has_registrations = !registrations.is_empty();
             if self.consensus.propose(move |image| register(image, &registrations, &complete)).await.is_ok() {
-                log_lines.iter().for_each(|line| self.log(Component::Elect, line));
+                log_lines.iter().for_each(|line| self.log(Component::Election, line));
                 if has_registrations {
                     self.publish_soon();
                 }
--- a/hub/src/leadership/registry.rs
+++ b/hub/src/leadership/registry.rs
@@ -52,14 +52,14 @@
             zone: server.zone.clone(),
             addr: server.addr.clone(),
             draining: server.draining,
-            cold: f64::from(server.cold) / 1000.0,
+            cold: f64::from(server.coldness_permille) / 1000.0,
             is_primary: server.is_primary,
             epoch: server.epoch,
-            last_report: if server.gone { Duration::ZERO } else { now },
-            gone: server.gone,
+            last_report: if server.unreachable { Duration::ZERO } else { now },
+            gone: server.unreachable,
             group: server.group.clone(),
             report_seq: server.report_seq,
-            deregistered: server.left,
+            deregistered: server.deregistered,
         }
     }
 
@@ -111,13 +111,13 @@
             zone: self.zone.clone(),
             addr: self.addr.clone(),
             draining: self.draining,
-            gone: self.gone,
-            cold: self.cold_step(),
+            unreachable: self.gone,
+            coldness_permille: self.cold_step(),
             is_primary: self.is_primary,
             epoch: self.epoch,
             group: self.group.clone(),
             report_seq: self.report_seq,
-            left: self.deregistered,
+            deregistered: self.deregistered,
         }
     }
 }
@@ -149,14 +149,14 @@
             .iter()
             .map(|observation| (observation.server.clone(), observation.clone()))
             .collect();
-        Self { node, last_heartbeat: now, observations, is_control_node: heartbeat.hub }
+        Self { node, last_heartbeat: now, observations, is_control_node: heartbeat.is_control_node }
     }
 
     /// Whether the node has had no response from a server for longer than `max_age`, or doesn't observe it.
     pub fn cannot_reach(&self, server: &str, now: Duration, max_age: Duration) -> bool {
         let observation = self.observations.get(server);
         observation.is_none_or(|observation| {
-            Duration::from_millis(observation.age) + now.saturating_sub(self.last_heartbeat) > max_age
+            Duration::from_millis(observation.age_ms) + now.saturating_sub(self.last_heartbeat) > max_age
         })
     }
 
--- a/hub/src/leadership/rows.rs
+++ b/hub/src/leadership/rows.rs
@@ -119,7 +119,7 @@
 
     /// The outstanding shares.
     pub fn share_rows(&self) -> HttpResponse {
-        let rows = self.leases.borrow().out(self.env.now());
+        let rows = self.leases.borrow().outstanding_shares(self.env.now());
         json(rows.into_iter().map(|(server, node, count)| ShareRow { server, node, count }).collect())
     }
 }
--- a/hub/src/leases.rs
+++ b/hub/src/leases.rs
@@ -28,7 +28,7 @@
     /// The node's name.
     pub node: &'a str,
     /// The random boot id of the node's process.
-    pub boot: u64,
+    pub boot_id: u64,
     /// The nonce of the heartbeat.
     pub nonce: u64,
 }
@@ -101,15 +101,15 @@
                 table.unknown_primaries_until = reported_at + Duration::from_millis(lease.remaining_ms);
                 continue;
             }
-            let holder = Holder { node: &lease.node, boot: lease.boot_id, nonce: lease.nonce };
-            table.give_primary(&lease.group, holder, reported_at + Duration::from_millis(lease.remaining_ms));
+            let holder = Holder { node: &lease.node, boot_id: lease.boot_id, nonce: lease.nonce };
+            table.grant_primary(&lease.group, holder, reported_at + Duration::from_millis(lease.remaining_ms));
         }
         table
     }
 
     /// The leases on primaries that may still be in force, for the next leader. While there may be unreported ones, the
     /// first entry has no group and states their remaining time.
-    pub fn left(&self, now: Duration) -> Vec<OutstandingLease> {
+    pub fn outstanding_primary_leases(&self, now: Duration) -> Vec<OutstandingLease> {
         let mut outstanding = Vec::new();
         if self.unknown_primaries_until > now {
             // It is unknown which nodes hold leases of a leader before the previous one.
@@ -128,10 +128,10 @@
 
     /// Processes what a node reports in a heartbeat that it holds. A heartbeat reduces only leases that were granted to
     /// the same process of the node; those of an earlier process expire.
-    pub fn told(&mut self, heartbeat: &NodeHeartbeat, now: Duration) {
+    pub fn record_heartbeat(&mut self, heartbeat: &NodeHeartbeat, now: Duration) {
         for held in &heartbeat.shares {
             let lease = self.shares.entry(held.server.clone()).or_default().entry(heartbeat.name.clone()).or_default();
-            lease.wanted = held.want;
+            lease.wanted = held.wanted;
             lease.wanted_at = now;
             // A heartbeat describes the past: only a count that the node held after the latest acknowledgement reduces
             // the outstanding count.
@@ -163,8 +163,8 @@
     }
 
     /// Records a lease on a group's primary that expires at `until`.
-    pub fn give_primary(&mut self, group: &str, holder: Holder, until: Duration) {
-        let lease = PrimaryLease { boot_id: holder.boot, nonce: holder.nonce, expires_at: until };
+    pub fn grant_primary(&mut self, group: &str, holder: Holder, until: Duration) {
+        let lease = PrimaryLease { boot_id: holder.boot_id, nonce: holder.nonce, expires_at: until };
         self.primaries.entry(group.into()).or_default().insert(holder.node.into(), lease);
     }
 
@@ -188,7 +188,7 @@
     /// Grants a node its share of a server until `until`. With `server_enforces_cap` the server itself rejects
     /// connections over its cap, so that every node may try where connections are scarce. Otherwise never more
     /// connections are granted than other nodes leave over.
-    pub fn share(
+    pub fn grant_share(
         &mut self,
         server: &str,
         holder: Holder,
@@ -218,7 +218,7 @@
         lease.count = lease.count.max(count);
         lease.expires_at = until;
         lease.nonce = holder.nonce;
-        lease.boot_id = holder.boot;
+        lease.boot_id = holder.boot_id;
         Share { count, scarce, sharers }
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// The outstanding shares: server, node, count.
-    pub fn out(&self, now: Duration) -> Vec<(String, String, u64)> {
+    pub fn outstanding_shares(&self, now: Duration) -> Vec<(String, String, u64)> {
         let shares = self
             .shares
             .iter()
--- a/hub/src/lib.rs
+++ b/hub/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod run;
 pub mod store;
 
-pub use on_platform::PlatformHub;
-pub use run::{DisabledGuards, Hub, run, run_with_protocol};
+pub use on_platform::PlatformControlNode;
+pub use run::{ControlNode, DisabledGuards, run, run_with_protocol};
--- a/hub/src/operator/apply.rs
+++ b/hub/src/operator/apply.rs
@@ -36,12 +36,12 @@
         let mut routes = operator_routes(old);
         for name in &change.drop {
             // Operators who number their configurations may drop a route that doesn't exist.
-            if change.number.is_none() && !routes.iter().any(|route| route.handle() == name) {
+            if change.number.is_none() && !routes.iter().any(|route| route.key() == name) {
                 return Err(error_response(ErrorKind::Invalid, &format!("drop: no doorway {name:?}"), None));
             }
-            routes.retain(|route| route.handle() != name);
+            routes.retain(|route| route.key() != name);
         }
-        merge(&mut routes, &change.put, |existing, new| existing.handle() == new.handle());
+        merge(&mut routes, &change.put, |existing, new| existing.key() == new.key());
         let mut groups = operator_groups(old);
         groups.retain(|group| !change.drop_groups.contains(&group.name));
         merge(&mut groups, &change.groups, |existing, new| existing.name == new.name);
@@ -52,9 +52,9 @@
 
 /// The state with the requested configuration in force. Fails with an `Invalid` response that lists all faults.
 pub fn apply(disabled: DisabledGuards, old: &Image, requested: RequestedConfiguration) -> Result<Image, HttpResponse> {
-    let mut errors = operator::check(&requested.routes, &requested.groups, &requested.limits);
+    let mut errors = operator::configuration_faults(&requested.routes, &requested.groups, &requested.limits);
     let groups: Vec<wire::Group> = requested.groups.iter().map(|group| plan_group(old, group, &mut errors)).collect();
-    if !errors.is_empty() && !disabled.no_check {
+    if !errors.is_empty() && !disabled.no_configuration_check {
         return Err(error_response(ErrorKind::Invalid, &errors.join("; "), None));
     }
     let mut new = old.clone();
@@ -76,8 +76,8 @@
         fallback: route.fall,
         tag: route.tag,
         statement_ms: route.statement_ms,
-        aim_ms: route.aim_ms,
-        fresh_ms: route.fresh_ms,
+        target_latency_ms: route.aim_ms,
+        max_staleness_ms: route.fresh_ms,
         rank: route.rank,
         note: route.note,
     }
@@ -156,8 +156,8 @@
         fall: route.fallback,
         tag: route.tag.clone(),
         statement_ms: route.statement_ms,
-        aim_ms: route.aim_ms,
-        fresh_ms: route.fresh_ms,
+        aim_ms: route.target_latency_ms,
+        fresh_ms: route.max_staleness_ms,
         rank: route.rank,
         note: route.note.clone(),
     };
--- a/hub/src/operator/evacuation.rs
+++ b/hub/src/operator/evacuation.rs
@@ -22,7 +22,7 @@
     fn known_zones(&self) -> KnownZones {
         let now = self.env.now();
         let mut names: BTreeSet<String> = self.observed_zones().into_iter().collect();
-        if self.disabled.soft_zones {
+        if self.disabled.reported_zones_only {
             return KnownZones { names, complete: true };
         }
         names.extend(self.configured_zones.iter().cloned());
@@ -48,11 +48,11 @@
     zone: &str,
     evacuated: bool,
 ) -> Result<Image, HttpResponse> {
-    if !disabled.soft_zones {
+    if !disabled.reported_zones_only {
         zones.names.extend(old.server_addresses.iter().map(|server| server.zone.clone()));
     }
     let is_evacuated = old.evacuated_zones.iter().any(|name| name == zone);
-    if is_evacuated == evacuated && (is_evacuated || zones.names.contains(zone)) && !disabled.soft_zones {
+    if is_evacuated == evacuated && (is_evacuated || zones.names.contains(zone)) && !disabled.reported_zones_only {
         // A repeated order: the zone is in the requested state already.
         return Err(sequence_response(old));
     }
--- a/hub/src/operator/identity.rs
+++ b/hub/src/operator/identity.rs
@@ -8,7 +8,7 @@
 use wire::Image;
 
 /// How many applied orders the list holds at most.
-pub const REMEMBERED: usize = 512;
+pub const MAX_APPLIED_ORDERS: usize = 512;
 
 const DIGEST_BYTES: usize = 16;
 const NUMBER_BYTES: usize = 8;
@@ -18,7 +18,7 @@
 
 /// The identity of a numbered order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Identity {
+pub struct OrderIdentity {
     /// The operator's number of the order.
     pub number: u64,
     digest: [u8; DIGEST_BYTES],
@@ -28,16 +28,16 @@
 
 /// Whether an order was applied, according to the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Memory {
+pub enum OrderStatus {
     /// The order was applied.
-    Taken,
+    Applied,
     /// The order may have been applied so long ago that it is no longer in the list.
     Forgotten,
     /// The order was not applied.
-    New,
+    NotApplied,
 }
 
-impl Identity {
+impl OrderIdentity {
     /// The identity of an order with this method, number and body that is based on version `after`.
     pub fn new(method: &str, after: Option<u64>, number: u64, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -60,17 +60,21 @@
     }
 
     /// Looks up whether this order, which is based on version `after`, was applied.
-    pub fn recall(&self, image: &Image, after: Option<u64>) -> Memory {
+    pub fn lookup(&self, image: &Image, after: Option<u64>) -> OrderStatus {
         let record = self.record();
         let remembered = image.applied_orders.chunks_exact(RECORD_BYTES).any(|other| other == record);
         let remembered_as_legacy =
             image.legacy_orders.contains(&wire::LegacyOrder { number: self.number, sum: self.legacy_checksum });
         if remembered || remembered_as_legacy {
-            return Memory::Taken;
+            return OrderStatus::Applied;
         }
         // An order whose number is not above the version that it is based on was never applied, at any time.
         let may_be_old = after.is_none_or(|version| version < self.number);
-        if may_be_old && self.number <= image.highest_forgotten_order { Memory::Forgotten } else { Memory::New }
+        if may_be_old && self.number <= image.highest_forgotten_order {
+            OrderStatus::Forgotten
+        } else {
+            OrderStatus::NotApplied
+        }
     }
 
     /// Records in the state that the order was applied, and drops the oldest orders over [`REMEMBERED`].
@@ -78,7 +82,7 @@
         image.operator_version = self.number;
         image.applied_orders.extend(self.record());
         let count = image.applied_orders.len() / RECORD_BYTES + image.legacy_orders.len();
-        let mut excess = count.saturating_sub(REMEMBERED);
+        let mut excess = count.saturating_sub(MAX_APPLIED_ORDERS);
         // Orders in the legacy format are the oldest.
         let legacy_excess = excess.min(image.legacy_orders.len());
         for dropped in image.legacy_orders.drain(..legacy_excess) {
--- a/hub/src/operator/mod.rs
+++ b/hub/src/operator/mod.rs
@@ -86,7 +86,7 @@
     async fn read_configuration(&self) -> OrderResult {
         let image = self.consensus.confirm().await.map_err(|kind| error_response(kind, "", None))?;
         let (term, _) = self.consensus.term();
-        self.log(Component::Agree, format!("configuration {} is read in term {term}", image.operator_version));
+        self.log(Component::Consensus, format!("configuration {} is read in term {term}", image.operator_version));
         let limits = image.limits.unwrap_or_default();
         let view = ConfigurationView {
             sequence: image.sequence,
--- a/hub/src/operator/order.rs
+++ b/hub/src/operator/order.rs
@@ -16,7 +16,7 @@
 use super::{
     OrderResult,
     apply::{self, RequestedConfiguration},
-    identity::{Identity, Memory},
+    identity::{OrderIdentity, OrderStatus},
     json, parse_body,
 };
 use crate::{leadership::Leadership, run::DisabledGuards};
@@ -51,7 +51,7 @@
             Ok(image) => {
                 let (term, _) = self.consensus.term();
                 self.log(
-                    Component::Agree,
+                    Component::Consensus,
                     format!("configuration {} is committed in term {term}", image.operator_version),
                 );
                 // The snapshot is published before the operator gets the response, so that no later heartbeat is
@@ -83,7 +83,7 @@
         let may_remove_servers =
             |image: &Image| image.groups.iter().any(|group| !group.confirms) || self.disabled.early_verdict;
         if let Some(current) = self.consensus.image().filter(|current| may_remove_servers(current))
-            && self.consensus.leads()
+            && self.consensus.leads_with_lease()
         {
             match make(&current) {
                 Ok(new) => self.hand_over_leaving(&current, &new).await?,
@@ -142,12 +142,12 @@
 /// The version that an order is based on, and the order's identity.
 struct OrderBasis {
     based_on: Option<u64>,
-    identity: Option<Identity>,
+    identity: Option<OrderIdentity>,
 }
 
 impl OrderBasis {
     fn new(method: &str, after: Option<u64>, number: Option<u64>, body: &[u8]) -> Self {
-        Self { based_on: after, identity: number.map(|number| Identity::new(method, after, number, body)) }
+        Self { based_on: after, identity: number.map(|number| OrderIdentity::new(method, after, number, body)) }
     }
 
     /// Refuses an order that is based on another version than the latest. An order that was applied before is
@@ -156,13 +156,13 @@
         if let Some(identity) = &self.identity
             && !disabled.no_order_memory
         {
-            match identity.recall(old, self.based_on) {
-                Memory::Taken => return Err(sequence_response(old)),
-                Memory::Forgotten if !disabled.refuse_forgotten => {
+            match identity.lookup(old, self.based_on) {
+                OrderStatus::Applied => return Err(sequence_response(old)),
+                OrderStatus::Forgotten if !disabled.refuse_forgotten => {
                     let text = format!("number: {} is too old to tell whether it was taken", identity.number);
                     return Err(error_response(ErrorKind::OutcomeUnknown, &text, None));
                 }
-                Memory::Forgotten | Memory::New => {}
+                OrderStatus::Forgotten | OrderStatus::NotApplied => {}
             }
         }
         self.check_base(disabled, old)?;
@@ -172,7 +172,7 @@
     /// Checks the version that the order is based on.
     fn check_base(&self, disabled: DisabledGuards, old: &Image) -> Result<(), HttpResponse> {
         let current = if self.identity.is_some() { old.operator_version } else { old.sequence };
-        if disabled.no_compare || self.based_on.is_none_or(|version| version == current) {
+        if disabled.no_version_check || self.based_on.is_none_or(|version| version == current) {
             return Ok(());
         }
         let text = format!("the newest sequence is {current}");
--- a/hub/src/reports.rs
+++ b/hub/src/reports.rs
@@ -21,7 +21,7 @@
                 None,
             ));
         }
-        if !self.consensus.leads() {
+        if !self.consensus.leads_with_lease() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
         if let Some(address) = self.responding_address(&report).filter(|_| report.group.is_empty()) {
@@ -34,7 +34,7 @@
 
     /// Handles a server's statement that it ends.
     pub(crate) fn on_deregistration(&self, server: &str) -> OrderResult {
-        if !self.consensus.leads() {
+        if !self.consensus.leads_with_lease() {
             return Err(error_response(ErrorKind::Unconfirmed, "", None));
         }
         self.record_departure(server);
--- a/hub/src/rescue.rs
+++ b/hub/src/rescue.rs
@@ -2,14 +2,14 @@
 
 use base::runtime::Env;
 
-use crate::store::{Found, Store};
+use crate::store::{DiskContent, Store};
 
 /// Describes what the disk holds for the argument `look`. With the confirmation that this description names, marks the
 /// image as the one from which the system forms again. Fails if the disk can't be used, holds no image, was marked
 /// already, or if the argument is neither of the two.
 pub async fn rescue(env: &Env, argument: &str) -> Result<String, String> {
     let (mut store, mut state, found) = Store::open(env, 1 << 20).await.map_err(|error| error.to_string())?;
-    let Some(image) = state.image.clone().filter(|_| found == Found::Whole) else {
+    let Some(image) = state.image.clone().filter(|_| found == DiskContent::Valid) else {
         return Err("this disk holds no image; look at the other control nodes' disks".into());
     };
     if state.rescued {
--- a/hub/src/run.rs
+++ b/hub/src/run.rs
@@ -16,49 +16,49 @@
 };
 
 use crate::{
-    consensus::{Consensus, Guards, Identity},
+    consensus::{Consensus, DisabledConsensusGuards, Identity},
     http_endpoint::HttpHandler,
     leadership::Leadership,
-    store::{Fault, Found, Store},
+    store::{DiskContent, Store, StoreError},
 };
 
 /// Safeguards that tests disable to show that each is needed. The programs leave all of them enabled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DisabledGuards {
     /// Elect a primary without waiting until the leases on the previous one have expired.
-    pub no_wait: bool,
+    pub skip_lease_wait: bool,
     /// Elect a primary after reading a single server.
-    pub read_one: bool,
+    pub elect_from_one_log: bool,
     /// Let a disk without an image vote.
-    pub blank_votes: bool,
+    pub empty_disk_votes: bool,
     /// Continue to lead without acknowledgements of a majority.
-    pub no_lease: bool,
+    pub no_leader_lease: bool,
     /// Accept a change whatever sequence it is based on.
-    pub no_compare: bool,
+    pub no_version_check: bool,
     /// Accept configurations without checks.
-    pub no_check: bool,
+    pub no_configuration_check: bool,
     /// Grant shares regardless of the outstanding ones.
-    pub no_ledger: bool,
+    pub ignore_outstanding_shares: bool,
     /// Accept processes that run with other bounds.
-    pub any_rule: bool,
+    pub any_bounds: bool,
     /// Ignore at the start what the disk holds.
-    pub no_recall: bool,
+    pub ignore_stored_state: bool,
     /// Count every log towards the quorum, whatever it lost.
-    pub no_roll: bool,
+    pub count_any_log: bool,
     /// Promote a server without suspending replication on the others.
-    pub no_hold: bool,
+    pub no_replication_suspension: bool,
     /// Change the consensus members in one step, without a joint configuration.
     pub no_joint: bool,
     /// Form the first image at any start.
     pub form_again: bool,
     /// Elect a primary although the list of servers may be incomplete.
-    pub any_list: bool,
+    pub any_membership: bool,
     /// Use one fencing token for all promotions of a term.
-    pub one_fence: bool,
+    pub one_fencing_token: bool,
     /// Promote servers at once although the previous leader may have done so a moment ago.
-    pub no_duty_rest: bool,
+    pub no_promoter_change_pause: bool,
     /// Grant a cold server's whole cap at once.
-    pub no_ramp: bool,
+    pub no_warm_up: bool,
     /// Decide on an order by the latest local state, before a majority confirmed it.
     pub early_verdict: bool,
     /// Ignore which orders were applied before.
@@ -67,14 +67,14 @@
     /// refused by the other checks.
     pub refuse_forgotten: bool,
     /// Consider only the zones that servers and nodes reported since this control node began to lead.
-    pub soft_zones: bool,
+    pub reported_zones_only: bool,
 }
 
 /// The size of the log, in bytes, at which the store writes a new slot.
 const MAX_LOG_BYTES: u64 = 256 << 10;
 
 /// A running control node.
-pub struct Hub {
+pub struct ControlNode {
     /// The consensus among the control nodes.
     pub consensus: Rc<Consensus>,
     /// What this control node does while it leads.
@@ -102,7 +102,7 @@
 
 impl RelayHandler for ControlNodeHandler {
     fn is_leader(&self) -> bool {
-        self.consensus.leads()
+        self.consensus.leads_with_lease()
     }
 
     fn fill_heartbeat(&self, _heartbeat: &mut NodeHeartbeat) {}
@@ -134,14 +134,14 @@
     }
 
     fn on_other_frame(&self, from: &Hello, body: Body, out: &LinkWriter) {
-        if from.hub && self.consensus.agrees(&from.name, from.bounds_digest) {
-            self.consensus.frame(&from.name, body, Some(out.clone()));
+        if from.is_control_node && self.consensus.has_same_bounds(&from.name, from.bounds_digest) {
+            self.consensus.on_frame(&from.name, body, Some(out.clone()));
         }
     }
 
     fn on_peer_connected(&self, from: &Hello) {
-        if from.hub && self.consensus.agrees(&from.name, from.bounds_digest) {
-            self.consensus.met(&from.peer);
+        if from.is_control_node && self.consensus.has_same_bounds(&from.name, from.bounds_digest) {
+            self.consensus.add_discovered(&from.peer);
         }
     }
 
@@ -150,13 +150,13 @@
     }
 
     fn fill_hello(&self, hello: &mut Hello) {
-        self.consensus.hello(hello);
+        self.consensus.fill_hello(hello);
     }
 }
 
 /// Starts a control node, which runs until the returned value is dropped. Fails if the disk or an address can't be
 /// used.
-pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<Hub, Fault> {
+pub async fn run(env: &Env, config: &NodeConfig, disabled: DisabledGuards) -> Result<ControlNode, StoreError> {
     run_with_protocol(env, config, disabled, None).await
 }
 
@@ -166,7 +166,7 @@
     config: &NodeConfig,
     disabled: DisabledGuards,
     server_protocol: Option<Rc<dyn ServerProtocol>>,
-) -> Result<Hub, Fault> {
+) -> Result<ControlNode, StoreError> {
     let node_identity = NodeIdentity {
         name: config.name.clone(),
         zone: config.zone.clone(),
@@ -177,34 +177,34 @@
         boot_id: env.rand(),
     };
     let (mut store, mut state, found) = Store::open(env, MAX_LOG_BYTES).await?;
-    if disabled.no_recall {
+    if disabled.ignore_stored_state {
         state = Default::default();
     }
     match found {
-        Found::Fresh => env.log(Component::Disk, "the data folder is empty"),
-        Found::Torn => {
+        DiskContent::Empty => env.log(Component::Disk, "the data folder is empty"),
+        DiskContent::Corrupt => {
             env.log(Component::Disk, "no slot can be read; starting with an empty disk and a new incarnation")
         }
-        Found::Whole => {}
+        DiskContent::Valid => {}
     }
     if state.incarnation == 0 {
         // Written before anything else, so that the other members recognize this disk after a restart.
         state.incarnation = env.rand() | 1;
-        if config.first_start && found == Found::Fresh && config.seeds.contains(&config.peer) {
+        if config.first_start && found == DiskContent::Empty && config.seeds.contains(&config.peer) {
             state.formation_seeds = config.seeds.iter().map(ToString::to_string).collect();
         }
-        store.keep(&state).await;
+        store.save_or_abort(&state).await;
     }
     let peer = env.listen(config.peer).await?;
     let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(config.http).await?)));
-    let guards = Guards {
-        any_incarnation: disabled.blank_votes,
-        no_lease: disabled.no_lease,
-        any_bounds: disabled.any_rule,
-        early_verdict: disabled.early_verdict,
+    let guards = DisabledConsensusGuards {
+        any_incarnation: disabled.empty_disk_votes,
+        no_lease: disabled.no_leader_lease,
+        any_bounds: disabled.any_bounds,
+        early_result: disabled.early_verdict,
         no_joint: disabled.no_joint,
         form_again: disabled.form_again,
-        ..Guards::default()
+        ..DisabledConsensusGuards::default()
     };
     let identity = Identity {
         name: config.name.clone(),
@@ -223,10 +223,10 @@
     relay.set_handler(handler);
     let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
 
-    let consensus_tasks = [env.spawn(consensus.clone().run(queue, store)), env.spawn(consensus.clone().ticks())];
+    let consensus_tasks = [env.spawn(consensus.clone().run(queue, store)), env.spawn(consensus.clone().run_ticker())];
     let mut tree = Supervisor::new(env);
     let peers = consensus.clone();
-    tree.child("peers", move || peers.clone().keep_links());
+    tree.child("peers", move || peers.clone().maintain_links());
     relay.supervise(&mut tree, peer);
     let task = leadership.clone();
     tree.child("leadership", move || task.clone().run());
@@ -247,12 +247,12 @@
         Component::Main,
         format!("control node {} in zone {} serves {}", node_identity.name, node_identity.zone, config.http),
     );
-    Ok(Hub { consensus, leadership, relay, endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
+    Ok(ControlNode { consensus, leadership, relay, endpoint, _tree: tree, _consensus_tasks: consensus_tasks })
 }
 
-impl Hub {
+impl ControlNode {
     /// Sets the address of the platform.
-    pub fn platform(&self, address: Option<std::net::SocketAddr>) {
+    pub fn set_platform_address(&self, address: Option<std::net::SocketAddr>) {
         self.leadership.platform_address.set(address);
     }
 
--- a/hub/src/store/mod.rs
+++ b/hub/src/store/mod.rs
@@ -69,13 +69,13 @@
 
 /// What was found on the disk when the store was opened.
 #[derive(Debug, PartialEq)]
-pub enum Found {
+pub enum DiskContent {
     /// Nothing was written yet.
-    Fresh,
+    Empty,
     /// There is data, but no state can be relied on: no slot is readable, or the log is corrupt before its end.
-    Torn,
+    Corrupt,
     /// A state was read.
-    Whole,
+    Valid,
 }
 
 /// The records at the start of the log that share one generation. The log is overwritten from its start, so this is the
@@ -92,7 +92,7 @@
 
 /// Why a store can't be opened.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StoreError {
     #[error("no data folder is set")]
     NoDataFolder,
     #[error("{0}")]
@@ -117,8 +117,8 @@
 impl Store {
     /// Opens the data folder and reads the newest state. The log is limited to `max_log_bytes`, or to a few records if
     /// those are larger.
-    pub async fn open(env: &Env, max_log_bytes: u64) -> Result<(Self, DurableState, Found), Fault> {
-        let disk = env.disk().ok_or(Fault::NoDataFolder)?;
+    pub async fn open(env: &Env, max_log_bytes: u64) -> Result<(Self, DurableState, DiskContent), StoreError> {
+        let disk = env.disk().ok_or(StoreError::NoDataFolder)?;
         let mut newest: Option<(u64, DurableState)> = None;
         let mut has_data = false;
         for file in SLOT_FILES {
@@ -129,7 +129,7 @@
                     newest = Some((generation, state))
                 }
                 Ok(_) => {}
-                Err(found) => return Err(Fault::NewerFormat { file, found }),
+                Err(found) => return Err(StoreError::NewerFormat { file, found }),
             }
         }
         let log = disk.read(LOG_FILE).await?;
@@ -137,7 +137,11 @@
         let mut store = Self { env: env.clone(), disk, generation: 0, log_end: 0, max_log_bytes, must_reset: false };
         let Some((generation, state)) = newest else {
             store.must_reset = true;
-            return Ok((store, DurableState::default(), if has_data { Found::Torn } else { Found::Fresh }));
+            return Ok((
+                store,
+                DurableState::default(),
+                if has_data { DiskContent::Corrupt } else { DiskContent::Empty },
+            ));
         };
         let log = store.replay_log(log.as_deref().unwrap_or_default())?;
         let (state, records) = match log {
@@ -146,7 +150,7 @@
                 if l.is_corrupt {
                     store.must_reset = true;
                     store.generation = l.generation;
-                    return Ok((store, DurableState::default(), Found::Torn));
+                    return Ok((store, DurableState::default(), DiskContent::Corrupt));
                 }
                 store.generation = l.generation;
                 store.log_end = l.size;
@@ -158,12 +162,12 @@
             }
         };
         env.log(Component::Disk, format!("read slot generation {} and {records} log records", store.generation));
-        Ok((store, state, Found::Whole))
+        Ok((store, state, DiskContent::Valid))
     }
 
     /// Reads the log's records of its newest generation; `None` if there is no valid record.
-    fn replay_log(&self, log: &[u8]) -> Result<Option<ReplayedLog>, Fault> {
-        let newer = |found| Fault::NewerFormat { file: LOG_FILE, found };
+    fn replay_log(&self, log: &[u8]) -> Result<Option<ReplayedLog>, StoreError> {
+        let newer = |found| StoreError::NewerFormat { file: LOG_FILE, found };
         let mut out: Option<ReplayedLog> = None;
         let mut at = 0;
         while let Some((generation, state, size)) = decode(&log[at..]).map_err(newer)? {
@@ -218,7 +222,7 @@
 
     /// Writes and syncs a state. Returns `false` if the disk is full; then the previous state is still in force. Any
     /// other error aborts the process, because it is unknown what the disk holds.
-    pub async fn keep(&mut self, state: &DurableState) -> bool {
+    pub async fn save_or_abort(&mut self, state: &DurableState) -> bool {
         match self.save(state).await {
             Ok(()) => true,
             Err(e) if e.kind() == io::ErrorKind::StorageFull => {
--- a/hub/tests/consensus.rs
+++ b/hub/tests/consensus.rs
@@ -3,7 +3,7 @@
 
 mod model;
 
-use hub::consensus::Guards;
+use hub::consensus::DisabledConsensusGuards;
 use model::{
     ALL_GUARDS,
     search::{Limits, Start, search},
@@ -29,7 +29,7 @@
 }
 
 /// Asserts that with the guard disabled, a walk finds a violation that contains `what`.
-fn assert_a_walk_finds(plan: Plan, guards: Guards, what: &str) {
+fn assert_a_walk_finds(plan: Plan, guards: DisabledConsensusGuards, what: &str) {
     let violation = (1..=300).find_map(|seed| walk(seed, Plan { guards, ..plan }).err().filter(|e| e.contains(what)));
     let text = violation.unwrap_or_else(|| panic!("nothing like {what:?} was found with the guard disabled"));
     println!("{}", text.lines().next().unwrap_or_default());
@@ -52,22 +52,22 @@
 
 #[test]
 fn a_result_returned_before_its_commit_is_found() {
-    assert_a_walk_finds(THREE_NODES, Guards { early_verdict: true, ..ALL_GUARDS }, "order");
+    assert_a_walk_finds(THREE_NODES, DisabledConsensusGuards { early_result: true, ..ALL_GUARDS }, "order");
 }
 
 #[test]
 fn a_replaced_disk_that_still_counts_in_quorums_is_found() {
-    assert_a_walk_finds(THREE_NODES, Guards { any_incarnation: true, ..ALL_GUARDS }, "was reported");
+    assert_a_walk_finds(THREE_NODES, DisabledConsensusGuards { any_incarnation: true, ..ALL_GUARDS }, "was reported");
 }
 
 #[test]
 fn a_leader_without_a_lease_is_found() {
-    assert_a_walk_finds(THREE_NODES, Guards { no_lease: true, ..ALL_GUARDS }, "lead at the same time");
+    assert_a_walk_finds(THREE_NODES, DisabledConsensusGuards { no_lease: true, ..ALL_GUARDS }, "lead at the same time");
 }
 
 #[test]
 fn a_vote_for_an_older_image_is_found() {
-    assert_a_walk_finds(THREE_NODES, Guards { vote_for_older: true, ..ALL_GUARDS }, "was reported");
+    assert_a_walk_finds(THREE_NODES, DisabledConsensusGuards { vote_for_older: true, ..ALL_GUARDS }, "was reported");
 }
 
 /// The maximum number of states that a search visits; an environment variable overrides it.
@@ -87,7 +87,7 @@
 
 #[test]
 fn the_search_finds_results_returned_before_their_commit() {
-    let guards = Guards { early_verdict: true, ..ALL_GUARDS };
+    let guards = DisabledConsensusGuards { early_result: true, ..ALL_GUARDS };
     let result = search(Start::UncommittedOrder, Limits { states: max_states(), guards });
     println!("{} states, depth {}: {:?}", result.states, result.depth, result.violation);
     assert!(result.violation.is_some());
--- a/hub/tests/consensus_days.rs
+++ b/hub/tests/consensus_scenarios.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use hub::consensus::{Guards, Input, Message};
+use hub::consensus::{DisabledConsensusGuards, Input, Message};
 use model::{
     ALL_GUARDS,
     cluster::{Cluster, SyncResult, applied_orders, timing},
@@ -13,7 +13,7 @@
 
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-fn stable_cluster(machines: usize, target_members: usize, guards: Guards) -> Cluster {
+fn stable_cluster(machines: usize, target_members: usize, guards: DisabledConsensusGuards) -> Cluster {
     let mut cluster = Cluster::new(machines, 3, target_members, guards);
     cluster.stabilize();
     cluster
@@ -197,7 +197,7 @@
 
 /// One side of a partition replaces a member that it can't reach, while the other side elects a leader: a membership
 /// change that needed a majority of the new members only would create two independent systems.
-fn members_change_while_the_old_ones_elect(guards: Guards) -> Vec<String> {
+fn members_change_while_the_old_ones_elect(guards: DisabledConsensusGuards) -> Vec<String> {
     let mut violations = Vec::new();
     for eighths_early in 0..12u32 {
         let mut cluster = stable_cluster(4, 3, guards);
@@ -232,7 +232,7 @@
 fn members_change_by_agreement_of_old_and_new() {
     let violations = members_change_while_the_old_ones_elect(ALL_GUARDS);
     assert!(violations.is_empty(), "{violations:?}");
-    let violations = members_change_while_the_old_ones_elect(Guards { no_joint: true, ..ALL_GUARDS });
+    let violations = members_change_while_the_old_ones_elect(DisabledConsensusGuards { no_joint: true, ..ALL_GUARDS });
     assert!(!violations.is_empty(), "nothing was found with the guard disabled");
 }
 
@@ -324,7 +324,7 @@
 }
 
 /// Changed settings name three empty machines as seeds, while the machines that hold the state can't be reached.
-fn empty_seeds_far_from_the_state(guards: Guards) -> Cluster {
+fn empty_seeds_far_from_the_state(guards: DisabledConsensusGuards) -> Cluster {
     let mut cluster = stable_cluster(3, 3, guards);
     let leader_index = leader(&cluster);
     cluster.order(leader_index, 1, 0, SyncResult::Synced);
@@ -350,7 +350,7 @@
     let cluster = empty_seeds_far_from_the_state(ALL_GUARDS);
     assert!(cluster.running().iter().all(|i| !cluster.leads_with_lease(*i)));
     assert_clean(&cluster);
-    let cluster = empty_seeds_far_from_the_state(Guards { form_again: true, ..ALL_GUARDS });
+    let cluster = empty_seeds_far_from_the_state(DisabledConsensusGuards { form_again: true, ..ALL_GUARDS });
     assert!(!cluster.monitor.violations.is_empty(), "nothing was found with the guard disabled");
 }
 
--- a/hub/tests/leases.rs
+++ b/hub/tests/leases.rs
@@ -9,7 +9,7 @@
 const NOW: Duration = Duration::from_secs(100);
 
 fn holder(boot: u64, nonce: u64) -> Holder<'static> {
-    Holder { node: "n1", boot, nonce }
+    Holder { node: "n1", boot_id: boot, nonce }
 }
 
 fn heartbeat(boot: u64, last_ack_nonce: u64) -> NodeHeartbeat {
@@ -18,16 +18,16 @@
 
 fn table() -> LeaseTable {
     let mut table = LeaseTable::new(Duration::ZERO);
-    table.told(
+    table.record_heartbeat(
         &NodeHeartbeat {
-            shares: vec![HeldShare { server: "s1".into(), want: 9, ..HeldShare::default() }],
+            shares: vec![HeldShare { server: "s1".into(), wanted: 9, ..HeldShare::default() }],
             ..heartbeat(2, 0)
         },
         NOW,
     );
-    table.give_primary("g1", holder(2, 5), NOW + LEASE_DURATION);
+    table.grant_primary("g1", holder(2, 5), NOW + LEASE_DURATION);
     assert_eq!(
-        table.share("s1", holder(2, 5), 9, NOW, NOW + LEASE_DURATION, false),
+        table.grant_share("s1", holder(2, 5), 9, NOW, NOW + LEASE_DURATION, false),
         Share { count: 9, scarce: false, sharers: 1 }
     );
     table
@@ -37,30 +37,30 @@
 #[test]
 fn a_report_of_an_earlier_run_takes_back_no_lease_of_the_next_run() {
     let mut table = table();
-    table.told(&NodeHeartbeat { leaving: true, ..heartbeat(1, 900) }, NOW);
-    table.told(&heartbeat(1, 900), NOW);
+    table.record_heartbeat(&NodeHeartbeat { leaving: true, ..heartbeat(1, 900) }, NOW);
+    table.record_heartbeat(&heartbeat(1, 900), NOW);
     let empty = HeldShare { server: "s1".into(), ..HeldShare::default() };
-    table.told(&NodeHeartbeat { shares: vec![empty], ..heartbeat(1, 900) }, NOW);
+    table.record_heartbeat(&NodeHeartbeat { shares: vec![empty], ..heartbeat(1, 900) }, NOW);
     assert!(!table.primary_free("g1", NOW));
-    assert_eq!(table.out(NOW), [("s1".to_string(), "n1".to_string(), 9)]);
+    assert_eq!(table.outstanding_shares(NOW), [("s1".to_string(), "n1".to_string(), 9)]);
 }
 
 #[test]
 fn a_run_gives_its_own_leases_back() {
     let mut table = table();
-    table.told(&heartbeat(2, 6), NOW);
+    table.record_heartbeat(&heartbeat(2, 6), NOW);
     assert!(table.primary_free("g1", NOW));
     let mut table = self::table();
-    table.told(&NodeHeartbeat { leaving: true, ..heartbeat(2, 0) }, NOW);
-    assert!(table.primary_free("g1", NOW) && table.out(NOW).is_empty());
+    table.record_heartbeat(&NodeHeartbeat { leaving: true, ..heartbeat(2, 0) }, NOW);
+    assert!(table.primary_free("g1", NOW) && table.outstanding_shares(NOW).is_empty());
 }
 
 #[test]
 fn leases_run_out_and_are_inherited_with_the_run_that_holds_them() {
     let table = table();
-    let outstanding = table.left(NOW);
+    let outstanding = table.outstanding_primary_leases(NOW);
     let mut next = LeaseTable::inherit(NOW, NOW, &outstanding);
-    next.told(&NodeHeartbeat { leaving: true, ..heartbeat(1, 900) }, NOW);
+    next.record_heartbeat(&NodeHeartbeat { leaving: true, ..heartbeat(1, 900) }, NOW);
     assert!(!next.primary_free("g1", NOW + LEASE_DURATION));
     assert!(next.primary_free("g1", NOW + LEASE_DURATION + Duration::from_millis(2)));
 }
@@ -80,7 +80,7 @@
     for round in 1..=240 {
         let now = NOW + HEARTBEAT * round;
         for (i, name) in names.iter().enumerate() {
-            let held_share = HeldShare { server: "s1".into(), count: held[i], want: 1 };
+            let held_share = HeldShare { server: "s1".into(), count: held[i], wanted: 1 };
             let nonce = u64::from(round);
             let heartbeat = NodeHeartbeat {
                 name: name.clone(),
@@ -89,9 +89,9 @@
                 shares: vec![held_share],
                 ..NodeHeartbeat::default()
             };
-            table.told(&heartbeat, now);
-            let holder = Holder { node: name, boot: 1, nonce };
-            let share = table.share("s1", holder, CONNECTION_CAP, now, now + LEASE_DURATION, enforces_own_cap);
+            table.record_heartbeat(&heartbeat, now);
+            let holder = Holder { node: name, boot_id: 1, nonce };
+            let share = table.grant_share("s1", holder, CONNECTION_CAP, now, now + LEASE_DURATION, enforces_own_cap);
             assert!(share.scarce || round == 1, "a node was not informed that connections are scarce");
             held[i] = share.count;
             if held[i] > 0 {
@@ -99,7 +99,7 @@
             }
             longest = longest.max(now - since[i]);
         }
-        max_leased = max_leased.max(table.out(now).iter().map(|(_, _, count)| count).sum());
+        max_leased = max_leased.max(table.outstanding_shares(now).iter().map(|(_, _, count)| count).sum());
     }
     (longest, max_leased)
 }
--- a/hub/tests/model/cluster.rs
+++ b/hub/tests/model/cluster.rs
@@ -5,7 +5,10 @@
 
 use base::Bounds;
 use hub::{
-    consensus::{Clock, Core, Effect, Guards, Identity, Input, Message, PeerHello, RequestId, Timing, has_quorum},
+    consensus::{
+        Clock, Core, DisabledConsensusGuards, Effect, Identity, Input, Message, PeerHello, RequestId, Timing,
+        has_quorum,
+    },
     store::{DurableState, Version},
 };
 use wire::{Frame, Image, Member, Message as _, Route};
@@ -61,7 +64,7 @@
     pub monitor: Monitor,
     /// Pairs of sender and receiver between which no message is delivered.
     pub blocked_paths: Vec<(usize, usize)>,
-    pub guards: Guards,
+    pub guards: DisabledConsensusGuards,
     /// The machines that are named as seeds in the settings when a process starts.
     pub seeds: Vec<usize>,
     /// The number of messages sent that carry an image, whole or as a delta.
@@ -89,7 +92,7 @@
 
 impl Cluster {
     /// Creates `count` empty machines and starts them for the first time; the first three are the seeds.
-    pub fn new(count: usize, zones: usize, target_members: usize, guards: Guards) -> Self {
+    pub fn new(count: usize, zones: usize, target_members: usize, guards: DisabledConsensusGuards) -> Self {
         let mut cluster = Self {
             nodes: Vec::new(),
             messages: Vec::new(),
--- a/hub/tests/model/mod.rs
+++ b/hub/tests/model/mod.rs
@@ -7,14 +7,14 @@
 pub mod search;
 pub mod walk;
 
-use hub::consensus::Guards;
+use hub::consensus::DisabledConsensusGuards;
 
 /// All guards enabled, as in the programs.
-pub const ALL_GUARDS: Guards = Guards {
+pub const ALL_GUARDS: DisabledConsensusGuards = DisabledConsensusGuards {
     any_incarnation: false,
     no_lease: false,
     any_bounds: false,
-    early_verdict: false,
+    early_result: false,
     no_joint: false,
     form_again: false,
     vote_for_older: false,
--- a/hub/tests/model/search.rs
+++ b/hub/tests/model/search.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use hub::consensus::{Guards, Input};
+use hub::consensus::{DisabledConsensusGuards, Input};
 
 use super::cluster::{Cluster, SyncResult, timing};
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub states: usize,
-    pub guards: Guards,
+    pub guards: DisabledConsensusGuards,
 }
 
 /// The result of a search.
@@ -81,7 +81,7 @@
 }
 
 /// Brings a cluster into the state in which the search begins.
-fn initial_cluster(start: Start, guards: Guards) -> Cluster {
+fn initial_cluster(start: Start, guards: DisabledConsensusGuards) -> Cluster {
     let machines = if matches!(start, Start::MemberLost) { 4 } else { 3 };
     let mut cluster = Cluster::new(machines, 3, 3, guards);
     cluster.stabilize();
--- a/hub/tests/model/walk.rs
+++ b/hub/tests/model/walk.rs
@@ -1,7 +1,7 @@
 //! Long random walks: machines are killed, lose power during a sync, lose their disks, are replaced, leave and are
 //! partitioned, while operators repeatedly send orders to several machines.
 
-use hub::consensus::{Guards, Input};
+use hub::consensus::{DisabledConsensusGuards, Input};
 
 use super::{
     cluster::{Cluster, SyncResult, applied_orders, timing},
@@ -15,7 +15,7 @@
     pub zones: usize,
     pub target_members: usize,
     pub steps: usize,
-    pub guards: Guards,
+    pub guards: DisabledConsensusGuards,
 }
 
 struct Walk {
--- a/hub/tests/store.rs
+++ b/hub/tests/store.rs
@@ -5,7 +5,7 @@
 use base::runtime::{Component, Disk, Env, Listener, LocalFuture, Runtime, Stream};
 use bolero::check;
 use futures::executor::block_on;
-use hub::store::{DurableState, FORMAT_VERSION, Fault, Found, Store, decode, encode};
+use hub::store::{DiskContent, DurableState, FORMAT_VERSION, Store, StoreError, decode, encode};
 
 #[derive(Clone, Default)]
 struct MemoryDisk(Rc<RefCell<BTreeMap<String, Vec<u8>>>>, Rc<std::cell::Cell<bool>>);
@@ -67,7 +67,7 @@
     }
 }
 
-fn open(disk: &MemoryDisk, max_log_bytes: u64) -> Result<(Store, DurableState, Found), Fault> {
+fn open(disk: &MemoryDisk, max_log_bytes: u64) -> Result<(Store, DurableState, DiskContent), StoreError> {
     block_on(Store::open(&Env::new(Rc::new(TestRuntime(disk.clone()))), max_log_bytes))
 }
 
@@ -78,7 +78,7 @@
 fn disk_with_states(count: u64, max_log_bytes: u64) -> MemoryDisk {
     let disk = MemoryDisk::default();
     let (mut store, _, found) = open(&disk, max_log_bytes).unwrap();
-    assert_eq!(found, Found::Fresh);
+    assert_eq!(found, DiskContent::Empty);
     for t in 1..=count {
         block_on(store.save(&state(t))).unwrap();
     }
@@ -89,7 +89,7 @@
 fn the_newest_save_is_read_back_over_many_generations() {
     for count in 1..40 {
         let (_, state_read, found) = open(&disk_with_states(count, 300), 300).unwrap();
-        assert_eq!((state_read, found), (state(count), Found::Whole));
+        assert_eq!((state_read, found), (state(count), DiskContent::Valid));
     }
 }
 
@@ -103,7 +103,7 @@
         let disk = MemoryDisk(Rc::new(RefCell::new(whole.0.borrow().clone())), Rc::default());
         disk.0.borrow_mut().insert("log".into(), log[..cut].to_vec());
         let (mut store, state_read, found) = open(&disk, 1 << 20).unwrap();
-        assert_eq!(found, Found::Whole);
+        assert_eq!(found, DiskContent::Valid);
         assert_eq!(state_read.term, ((cut / size) as u64).max(1), "cut at {cut}");
         block_on(store.save(&state(9))).unwrap();
         assert_eq!(open(&disk, 1 << 20).unwrap().1, state(9));
@@ -116,7 +116,7 @@
     let size = disk.0.borrow()["log"].len() / 5;
     disk.0.borrow_mut().get_mut("log").unwrap()[size + 40] ^= 1;
     let (_, state_read, found) = open(&disk, 1 << 20).unwrap();
-    assert_eq!((found, state_read), (Found::Torn, DurableState::default()));
+    assert_eq!((found, state_read), (DiskContent::Corrupt, DurableState::default()));
 }
 
 #[test]
@@ -126,12 +126,12 @@
     let newest = names.iter().max_by_key(|n| decode(&disk.0.borrow()[*n]).unwrap().unwrap().0).unwrap().clone();
     disk.0.borrow_mut().get_mut(&newest).unwrap()[30] ^= 1;
     let (_, state_read, found) = open(&disk, 300).unwrap();
-    assert_eq!((state_read, found), (state(12), Found::Whole));
+    assert_eq!((state_read, found), (state(12), DiskContent::Valid));
     for n in names {
         disk.0.borrow_mut().insert(n, vec![1; 50]);
     }
     let (mut store, state_read, found) = open(&disk, 300).unwrap();
-    assert_eq!((found, state_read), (Found::Torn, DurableState::default()));
+    assert_eq!((found, state_read), (DiskContent::Corrupt, DurableState::default()));
     block_on(store.save(&state(20))).unwrap();
     assert_eq!(open(&disk, 300).unwrap().1, state(20));
 }
@@ -143,11 +143,11 @@
     let (mut store, _, _) = open(&disk, 300).unwrap();
     disk.1.set(true);
     for t in 6..20 {
-        assert!(!block_on(store.keep(&state(t))));
+        assert!(!block_on(store.save_or_abort(&state(t))));
     }
     assert_eq!(open(&disk, 300).unwrap().1, state(5));
     disk.1.set(false);
-    assert!(block_on(store.keep(&state(20))));
+    assert!(block_on(store.save_or_abort(&state(20))));
     assert_eq!(open(&disk, 300).unwrap().1, state(20));
 }
 
@@ -161,7 +161,7 @@
     checksum.update(&data[28..]);
     data[24..28].copy_from_slice(&checksum.finalize().to_le_bytes());
     disk.0.borrow_mut().insert("slot-a".into(), data);
-    assert!(matches!(open(&disk, 300), Err(Fault::NewerFormat { file: "slot-a", .. })));
+    assert!(matches!(open(&disk, 300), Err(StoreError::NewerFormat { file: "slot-a", .. })));
 }
 
 #[test]
@@ -172,6 +172,6 @@
             disk.0.borrow_mut().insert(n.into(), d.clone());
         }
         let (_, state, found) = open(&disk, 300).unwrap();
-        assert!(found != Found::Whole && state == DurableState::default());
+        assert!(found != DiskContent::Valid && state == DurableState::default());
     });
 }
--- a/kit/src/check.rs
+++ b/kit/src/check.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    load::{End, Event, Kind},
+    load::{RequestKind, RequestOutcome, RequestRecord},
     server::Entry,
 };
 
@@ -15,15 +15,15 @@
 
 /// Checks writes, reads and session values, and returns the findings. `logs` holds for each database the log of the
 /// server that is its primary at the end; `fresh` is the staleness bound of `bound` reads.
-pub fn history(events: &[Event], logs: &BTreeMap<&str, Vec<Entry>>, fresh: Duration) -> Vec<String> {
+pub fn check_history(events: &[RequestRecord], logs: &BTreeMap<&str, Vec<Entry>>, fresh: Duration) -> Vec<String> {
     let mut findings = Vec::new();
     for (db, log) in logs {
-        let all: Vec<&Event> = events.iter().filter(|event| event.db == *db).collect();
+        let all: Vec<&RequestRecord> = events.iter().filter(|event| event.database == *db).collect();
         check_writes(db, &all, log, &mut findings);
         check_reads(db, &all, log, fresh, &mut findings);
     }
     for event in events {
-        if let Kind::Value { want, got } = &event.kind
+        if let RequestKind::Value { expected: want, actual: got } = &event.kind
             && want != got
         {
             findings.push(format!("session value: s{} set {want} and saw {got:?} at {:?}", event.session, event.done));
@@ -35,30 +35,30 @@
 
 /// Every entry of the log must be a requested write, complete and logged once. Acknowledged writes must be in the log;
 /// refused, failed and abandoned ones must not.
-fn check_writes(db: &str, events: &[&Event], log: &[Entry], findings: &mut Vec<String>) {
+fn check_writes(db: &str, events: &[&RequestRecord], log: &[Entry], findings: &mut Vec<String>) {
     let mut logged: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     for entry in log.iter().filter(|entry| !(entry.send.is_empty() && entry.ops.is_empty())) {
         logged.entry(entry.send.as_str()).or_default().push(entry);
     }
     let mut sent_ids = BTreeSet::new();
     for event in events {
-        let Kind::Write { send, adds } = &event.kind else { continue };
+        let RequestKind::Write { attempt_id: send, appended: adds } = &event.kind else { continue };
         sent_ids.insert(send.as_str());
         let entries = logged.get(send.as_str()).map_or(&[][..], |v| &v[..]);
         if entries.len() > 1 {
             findings.push(format!("{db}: {send} took effect {} times", entries.len()));
         }
-        match event.end {
-            End::Good if entries.is_empty() => {
+        match event.outcome {
+            RequestOutcome::Good if entries.is_empty() => {
                 findings.push(format!(
                     "{db}: {send} was acknowledged at {:?} by {} and is missing",
                     event.done, event.node
                 ));
             }
-            End::Refused | End::Failed if !entries.is_empty() => {
-                findings.push(format!("{db}: {send} was told not kept ({} {}) and is kept", event.code, event.note));
+            RequestOutcome::Refused | RequestOutcome::Failed if !entries.is_empty() => {
+                findings.push(format!("{db}: {send} was told not kept ({} {}) and is kept", event.status, event.note));
             }
-            End::Left if !entries.is_empty() => {
+            RequestOutcome::Left if !entries.is_empty() => {
                 findings.push(format!("{db}: {send} was left halfway and is kept"));
             }
             _ => {}
@@ -76,15 +76,15 @@
 }
 
 /// Reads must return only written values, each once, and all acknowledged values that their consistency level requires.
-fn check_reads(db: &str, events: &[&Event], log: &[Entry], fresh: Duration, findings: &mut Vec<String>) {
+fn check_reads(db: &str, events: &[&RequestRecord], log: &[Entry], fresh: Duration, findings: &mut Vec<String>) {
     // For each key: acknowledged values with the time of the acknowledgement and the session that wrote them.
     let mut acked: BTreeMap<&str, Vec<(Duration, &str, u64)>> = BTreeMap::new();
     let mut written: BTreeSet<(&str, &str)> = BTreeSet::new();
     for event in events {
-        let Kind::Write { adds, .. } = &event.kind else { continue };
+        let RequestKind::Write { appended: adds, .. } = &event.kind else { continue };
         for (key, value) in adds {
             written.insert((key, value));
-            if event.end == End::Good {
+            if event.outcome == RequestOutcome::Good {
                 acked.entry(key).or_default().push((event.done, value, event.session));
             }
         }
@@ -97,8 +97,8 @@
         }
     }
     for event in events {
-        let Kind::Read { key, vals, promise } = &event.kind else { continue };
-        if event.end != End::Good {
+        let RequestKind::Read { key, values: vals, consistency: promise } = &event.kind else { continue };
+        if event.outcome != RequestOutcome::Good {
             continue;
         }
         let seen: BTreeSet<&str> = vals.iter().map(String::as_str).collect();
@@ -113,15 +113,15 @@
         let Some(list) = acked.get(key.as_str()) else { continue };
         for (acked_at, value, writer) in list.iter().filter(|(_, value, _)| !seen.contains(*value)) {
             let missed = match *promise {
-                "leader" => *acked_at < event.start,
-                "bound" => *acked_at + fresh < event.start,
-                "session" => *writer == event.session && *acked_at < event.start,
+                "leader" => *acked_at < event.sent,
+                "bound" => *acked_at + fresh < event.sent,
+                "session" => *writer == event.session && *acked_at < event.sent,
                 _ => false,
             };
             if missed {
                 findings.push(format!(
                     "{db}: a {promise} read of {key} by s{} over {} from {:?} to {:?} missed {value}, acknowledged at {acked_at:?}",
-                    event.session, event.node, event.start, event.done
+                    event.session, event.node, event.sent, event.done
                 ));
             }
         }
--- a/kit/src/check_words.rs
+++ b/kit/src/check_operators.rs
@@ -2,27 +2,27 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::load::{End, Event, Words};
+use crate::load::{OperatorHistory, RequestOutcome, RequestRecord};
 
-/// Checks the operators' history and returns at most 20 findings. `areas` gives the zone of each node; `late` is the
+/// Checks the operators' history and returns at most 20 findings. `node_zones` gives the zone of each node; `late` is the
 /// time within which an acknowledged change must be in use at every node, `empty` the time within which an evacuated
 /// zone must stop serving.
-pub fn words(
-    operator_history: &Words,
-    events: &[Event],
-    areas: &BTreeMap<String, String>,
+pub fn check_operator_history(
+    operator_history: &OperatorHistory,
+    events: &[RequestRecord],
+    node_zones: &BTreeMap<String, String>,
     late: Duration,
     empty: Duration,
 ) -> Vec<String> {
-    let mut findings = operator_history.faults.borrow().clone();
-    let sent = operator_history.sent.borrow();
+    let mut findings = operator_history.findings.borrow().clone();
+    let sent = operator_history.changes.borrow();
     for (index, change) in sent.iter().enumerate().filter(|(_, change)| change.acked.is_some()) {
         if sent[..index].iter().any(|earlier| earlier.acked.is_some() && earlier.sequence == change.sequence) {
             findings.push(format!("sequence {} was acknowledged twice", change.sequence));
         }
     }
     let mut floor: BTreeMap<&str, u64> = BTreeMap::new();
-    let sights = operator_history.sights.borrow();
+    let sights = operator_history.observations.borrow();
     for observation in sights.iter() {
         let acknowledged_floor = sent
             .iter()
@@ -34,7 +34,7 @@
         let matching_sequence = sent
             .iter()
             .filter(|change| {
-                !change.void
+                !change.never_applies
                     && change.group == observation.group
                     && change.sent <= observation.done
                     && change.sequence >= lowest_allowed
@@ -51,15 +51,15 @@
             )),
         }
     }
-    for evacuation in operator_history.emptied.borrow().iter() {
+    for evacuation in operator_history.evacuations.borrow().iter() {
         let until = evacuation.until.unwrap_or(Duration::MAX);
-        for event in
-            events.iter().filter(|event| event.end == End::Good && areas.get(&event.node) == Some(&evacuation.area))
-        {
-            if event.start > evacuation.from + empty && event.done < until {
+        for event in events.iter().filter(|event| {
+            event.outcome == RequestOutcome::Good && node_zones.get(&event.node) == Some(&evacuation.zone)
+        }) {
+            if event.sent > evacuation.from + empty && event.done < until {
                 findings.push(format!(
                     "{} served a request sent at {:?} though zone {} was evacuated at {:?}",
-                    event.node, event.start, evacuation.area, evacuation.from
+                    event.node, event.sent, evacuation.zone, evacuation.from
                 ));
             }
         }
--- a/kit/src/check_orders.rs
+++ b/kit/src/check_orders.rs
@@ -23,22 +23,22 @@
 
 /// The response to one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum Response {
     /// The order was accepted.
-    Taken,
+    Accepted,
     /// The order was refused.
     Refused,
     /// There was no response, or none that determines the outcome.
-    Nothing,
+    Unknown,
 }
 
 /// One attempt to send an order, with the times of the request and of its response.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub order: Order,
-    pub call: Duration,
-    pub done: Duration,
-    pub heard: Heard,
+    pub sent: Duration,
+    pub answered: Duration,
+    pub response: Response,
 }
 
 /// A configuration that was read back, with the times of the request and of its response.
@@ -48,8 +48,8 @@
     pub number: u64,
     /// The mark of the order that created it.
     pub mark: String,
-    pub call: Duration,
-    pub done: Duration,
+    pub sent: Duration,
+    pub answered: Duration,
 }
 
 /// All attempts and reads of the operators.
@@ -70,7 +70,7 @@
 
 /// Returns a finding for everything that no sequence of events explains. `start` is the version in force at the
 /// beginning, with its mark.
-pub fn orders(history: &History, start: (u64, &str)) -> Vec<String> {
+pub fn check_orders(history: &History, start: (u64, &str)) -> Vec<String> {
     let mut findings = Vec::new();
     let mut chain = build_chain(history, start, &mut findings);
     if !findings.is_empty() {
@@ -86,7 +86,7 @@
 fn build_chain(history: &History, start: (u64, &str), findings: &mut Vec<String>) -> Vec<Version> {
     let sent_orders: BTreeMap<&str, &Order> =
         history.attempts.iter().map(|a| (a.order.mark.as_str(), &a.order)).collect();
-    let accepted = history.attempts.iter().filter(|a| a.heard == Heard::Taken).map(|a| a.order.mark.as_str());
+    let accepted = history.attempts.iter().filter(|a| a.response == Response::Accepted).map(|a| a.order.mark.as_str());
     let read_marks = history.reads.iter().map(|read| read.mark.as_str());
     let mut certain: BTreeSet<&str> = accepted.chain(read_marks).filter(|m| *m != start.1).collect();
     let mut by_number: BTreeMap<u64, &Order> = BTreeMap::new();
@@ -139,17 +139,20 @@
     for version in chain.iter_mut().skip(1) {
         let attempts: Vec<&Attempt> =
             history.attempts.iter().filter(|attempt| attempt.order.mark == version.mark).collect();
-        let first_sent = attempts.iter().map(|attempt| attempt.call).min().unwrap_or_default();
-        let first_acknowledged =
-            attempts.iter().filter(|attempt| attempt.heard == Heard::Taken).map(|attempt| attempt.done).min();
+        let first_sent = attempts.iter().map(|attempt| attempt.sent).min().unwrap_or_default();
+        let first_acknowledged = attempts
+            .iter()
+            .filter(|attempt| attempt.response == Response::Accepted)
+            .map(|attempt| attempt.answered)
+            .min();
         version.earliest = first_sent;
         version.latest = first_acknowledged.unwrap_or(Duration::MAX);
     }
     for read in &history.reads {
         let Some(index) = chain.iter().position(|version| version.number == read.number) else { continue };
-        chain[index].latest = chain[index].latest.min(read.done);
+        chain[index].latest = chain[index].latest.min(read.answered);
         if let Some(next) = chain.get_mut(index + 1) {
-            next.earliest = next.earliest.max(read.call);
+            next.earliest = next.earliest.max(read.sent);
         }
     }
     for index in 1..chain.len() {
@@ -172,26 +175,28 @@
 
 /// Finds refusals of orders that were accepted, and of orders that nothing conflicted with.
 fn check_refusals(history: &History, chain: &[Version], findings: &mut Vec<String>) {
-    for attempt in history.attempts.iter().filter(|attempt| attempt.heard == Heard::Refused) {
+    for attempt in history.attempts.iter().filter(|attempt| attempt.response == Response::Refused) {
         let mark = &attempt.order.mark;
         if chain.iter().any(|v| v.mark == *mark) {
-            findings.push(format!("{mark} was taken, and refused at {:?}", attempt.done));
+            findings.push(format!("{mark} was taken, and refused at {:?}", attempt.answered));
             continue;
         }
         let Some(index) = chain.iter().position(|v| v.number == attempt.order.after) else { continue };
-        let is_in_force_before = chain[index].latest <= attempt.call;
-        let stays_in_force = chain.get(index + 1).is_none_or(|next| next.earliest >= attempt.done);
+        let is_in_force_before = chain[index].latest <= attempt.sent;
+        let stays_in_force = chain.get(index + 1).is_none_or(|next| next.earliest >= attempt.answered);
         // A concurrent order with the same base version and an unknown outcome may have been accepted.
         let rival = |other: &Attempt| {
             other.order.after == attempt.order.after
                 && other.order.mark != *mark
-                && other.heard != Heard::Refused
-                && other.call < attempt.done
+                && other.response != Response::Refused
+                && other.sent < attempt.answered
         };
         let replaced = history.attempts.iter().any(rival);
         if is_in_force_before && stays_in_force && !replaced && attempt.order.number > attempt.order.after {
-            findings
-                .push(format!("{mark} was refused at {:?} though {} was in force", attempt.done, attempt.order.after));
+            findings.push(format!(
+                "{mark} was refused at {:?} though {} was in force",
+                attempt.answered, attempt.order.after
+            ));
         }
     }
 }
--- a/kit/src/fleet/layout.rs
+++ b/kit/src/fleet/layout.rs
@@ -7,10 +7,10 @@
 
 /// One control node or node of a deployment.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct NodeProcess {
     pub name: String,
     /// The zone.
-    pub area: String,
+    pub zone: String,
     /// Address for clients, operators and server reports.
     pub http: SocketAddr,
     /// Address for other nodes.
@@ -23,7 +23,7 @@
     pub name: String,
     pub group: String,
     /// The zone.
-    pub area: String,
+    pub zone: String,
     pub addr: SocketAddr,
     /// Whether the server runs without being in its group in the first configuration.
     pub spare: bool,
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// The zones.
-    pub areas: Vec<String>,
+    pub zones: Vec<String>,
     /// The control nodes.
-    pub hubs: Vec<Machine>,
+    pub control_nodes: Vec<NodeProcess>,
     /// The nodes.
-    pub spokes: Vec<Machine>,
+    pub nodes: Vec<NodeProcess>,
     pub servers: Vec<StandInServer>,
     /// Address of the platform.
     pub platform: SocketAddr,
     /// Maximum number of connections of each server.
-    pub cap: usize,
+    pub max_connections: usize,
 }
 
 impl Layout {
@@ -51,11 +51,11 @@
     pub fn new(machines: usize, cap: usize, mut addr: impl FnMut() -> SocketAddr) -> Self {
         let zones: Vec<String> = ["north", "mid", "south"].map(String::from).to_vec();
         let zone = |index: usize| zones[index % 3].clone();
-        let spokes = (0..machines)
-            .map(|index| Machine { name: format!("n{}", index + 1), area: zone(index), http: addr(), peer: addr() })
+        let nodes = (0..machines)
+            .map(|index| NodeProcess { name: format!("n{}", index + 1), zone: zone(index), http: addr(), peer: addr() })
             .collect();
-        let hubs = (0..3)
-            .map(|index| Machine { name: format!("h{}", index + 1), area: zone(index), http: addr(), peer: addr() })
+        let control_nodes = (0..3)
+            .map(|index| NodeProcess { name: format!("h{}", index + 1), zone: zone(index), http: addr(), peer: addr() })
             .collect();
         let mut servers = Vec::new();
         for group_index in 0..3 {
@@ -63,13 +63,13 @@
                 servers.push(StandInServer {
                     name: format!("g{}-{}", group_index + 1, ["a", "b", "c", "d"][server_index]),
                     group: format!("g{}", group_index + 1),
-                    area: zone(server_index),
+                    zone: zone(server_index),
                     addr: addr(),
                     spare: server_index == 3,
                 });
             }
         }
-        Self { areas: zones, hubs, spokes, servers, platform: addr(), cap }
+        Self { zones, control_nodes, nodes, servers, platform: addr(), max_connections: cap }
     }
 
     /// Returns a function that allocates free loopback ports of this machine.
@@ -90,7 +90,7 @@
     }
 
     /// The groups with their servers, spares included.
-    pub fn homes(&self) -> Vec<(String, Vec<String>)> {
+    pub fn groups_with_spares(&self) -> Vec<(String, Vec<String>)> {
         self.group_by(|_| true)
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// The settings file (JSON) of one process; with `data`, its data folder, it is that of a control node.
-    pub fn settings(&self, process: &Machine, data: Option<&Path>) -> String {
+    pub fn settings(&self, process: &NodeProcess, data: Option<&Path>) -> String {
         use nanoserde::SerJson;
-        let seeds: Vec<String> = self.hubs.iter().map(|h| h.peer.to_string()).collect();
+        let seeds: Vec<String> = self.control_nodes.iter().map(|h| h.peer.to_string()).collect();
         let mut settings = format!(
             "{{\"name\":{},\"area\":{},\"http\":\"{}\",\"peer\":\"{}\",\"seeds\":{}",
             process.name.serialize_json(),
-            process.area.serialize_json(),
+            process.zone.serialize_json(),
             process.http,
             process.peer,
             seeds.serialize_json()
@@ -130,19 +130,19 @@
     }
 
     /// The nodes as the load generator connects to them.
-    pub fn nodes(&self) -> Vec<crate::load::Node> {
-        let node = |machine: &Machine| crate::load::Node {
+    pub fn load_nodes(&self) -> Vec<crate::load::Node> {
+        let node = |machine: &NodeProcess| crate::load::Node {
             name: machine.name.clone(),
-            area: machine.area.clone(),
+            zone: machine.zone.clone(),
             addr: machine.http,
         };
-        self.spokes.iter().map(node).collect()
+        self.nodes.iter().map(node).collect()
     }
 
     /// Addresses that accept server reports, those in `zone` first.
-    pub fn reporters(&self, zone: &str) -> Vec<SocketAddr> {
-        let mut processes: Vec<&Machine> = self.spokes.iter().chain(&self.hubs).collect();
-        processes.sort_by_key(|process| process.area != zone);
+    pub fn report_addresses(&self, zone: &str) -> Vec<SocketAddr> {
+        let mut processes: Vec<&NodeProcess> = self.nodes.iter().chain(&self.control_nodes).collect();
+        processes.sort_by_key(|process| process.zone != zone);
         processes.into_iter().map(|process| process.http).collect()
     }
 }
--- a/kit/src/fleet/membership.rs
+++ b/kit/src/fleet/membership.rs
@@ -9,7 +9,7 @@
 };
 use nanoserde::SerJson;
 
-use super::ask;
+use super::send_request;
 
 /// Adds a server to a group, or removes it from its group, through the node at `node`: reads the configuration back and
 /// changes that one group. Returns the response of the node; fails if the node does not answer, its response cannot be
@@ -21,7 +21,8 @@
     server: &str,
     join: bool,
 ) -> Result<HttpResponse, String> {
-    let response = ask(env, node, "GET", "/ops/doorways", "").await.ok_or(format!("{node} does not answer"))?;
+    let response =
+        send_request(env, node, "GET", "/ops/doorways", "").await.ok_or(format!("{node} does not answer"))?;
     if response.status != 200 {
         return Ok(response);
     }
@@ -37,13 +38,19 @@
         changed_group.servers.retain(|s| s != server);
     }
     let change = ConfigurationChange { groups, ..ConfigurationChange::based_on(configuration.sequence) };
-    let response = ask(env, node, "PATCH", "/ops/doorways", &change.serialize_json()).await;
+    let response = send_request(env, node, "PATCH", "/ops/doorways", &change.serialize_json()).await;
     response.ok_or(format!("{node} does not answer; read the configuration back before a retry"))
 }
 
 /// Like [`change_membership`], through random nodes, up to 60 times until the change is acknowledged or refused for
 /// good. Returns whether the change is in force.
-pub async fn member_somehow(env: &Env, nodes: &[SocketAddr], group: &str, server: &str, join: bool) -> bool {
+pub async fn change_membership_with_retries(
+    env: &Env,
+    nodes: &[SocketAddr],
+    group: &str,
+    server: &str,
+    join: bool,
+) -> bool {
     for _ in 0..60 {
         let index = env.rand_below(nodes.len() as u64) as usize;
         match change_membership(env, nodes[index], group, server, join).await {
--- a/kit/src/fleet/mod.rs
+++ b/kit/src/fleet/mod.rs
@@ -6,11 +6,11 @@
 mod scale;
 mod script;
 
-pub use layout::{Layout, Machine, StandInServer};
-pub use membership::{change_membership, member_somehow};
+pub use layout::{Layout, NodeProcess, StandInServer};
+pub use membership::{change_membership, change_membership_with_retries};
 pub use processes::FleetProcesses;
 pub use scale::{IdleSessions, ScalePoint, ScaleRun, measure_idle_sessions, run_scale};
-pub use script::{FleetAction, Step, parse};
+pub use script::{FleetAction, Step, parse_step};
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf, rc::Rc, time::Duration};
 
@@ -19,7 +19,7 @@
 
 use crate::{
     check,
-    load::{self, DOORS, History, Plan, Report},
+    load::{self, DATABASES, History, Plan, Report},
     server::{Entry, StatsResponse},
 };
 
@@ -27,34 +27,34 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// Number of nodes.
-    pub machines: usize,
+    pub nodes: usize,
     /// Maximum number of connections of each server.
-    pub cap: usize,
+    pub max_connections: usize,
     /// Number of client sessions.
     pub sessions: usize,
     /// Requests per second.
     pub rate: f64,
     /// How long requests are sent.
-    pub span: Duration,
+    pub duration: Duration,
     /// The actions, in order of time.
     pub steps: Vec<Step>,
     /// Folder for settings, data and logs.
     pub folder: PathBuf,
     /// Folder of the programs.
-    pub bins: PathBuf,
+    pub program_folder: PathBuf,
 }
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends one request to a process of the fleet; `None` without a response within 2 s.
-pub async fn ask(env: &Env, addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<HttpResponse> {
+pub async fn send_request(env: &Env, addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<HttpResponse> {
     let body = Bytes::copy_from_slice(body.as_bytes());
-    Client::once(env, addr, method, path, &[], body, CALL_TIMEOUT).await.ok()
+    Client::connect_and_call(env, addr, method, path, &[], body, CALL_TIMEOUT).await.ok()
 }
 
 /// Waits until every node serves, holds a connection share of every server and a primary lease for every group; fails
 /// with the last obstacle after `timeout`.
-pub async fn ready(env: &Env, layout: &Layout, timeout: Duration) -> Result<(), String> {
+pub async fn wait_until_ready(env: &Env, layout: &Layout, timeout: Duration) -> Result<(), String> {
     let deadline = env.now() + timeout;
     let mut reason = String::new();
     while env.now() < deadline {
@@ -68,9 +68,9 @@
 }
 
 async fn check_ready(env: &Env, layout: &Layout) -> Result<(), String> {
-    for node in &layout.spokes {
+    for node in &layout.nodes {
         let response =
-            ask(env, node.http, "GET", "/status", "").await.ok_or(format!("{} does not answer", node.name))?;
+            send_request(env, node.http, "GET", "/status", "").await.ok_or(format!("{} does not answer", node.name))?;
         let text = String::from_utf8_lossy(&response.body).to_string();
         if !text.contains("\"serving\":true") {
             return Err(format!("{} does not serve: {text}", node.name));
@@ -90,12 +90,12 @@
 /// Sends the standard configuration to random nodes until it is accepted. Returns the response, which holds the
 /// sequence; fails with the last error after `timeout`.
 pub async fn configure(env: &Env, layout: &Layout, timeout: Duration) -> Result<String, String> {
-    let configuration = load::configuration_json(&layout.groups(), layout.cap as u64);
+    let configuration = load::configuration_json(&layout.groups(), layout.max_connections as u64);
     let deadline = env.now() + timeout;
     let mut reason = "no node answered".to_string();
     while env.now() < deadline {
-        let index = env.rand_below(layout.spokes.len() as u64) as usize;
-        match ask(env, layout.spokes[index].http, "PUT", "/ops/doorways", &configuration).await {
+        let index = env.rand_below(layout.nodes.len() as u64) as usize;
+        match send_request(env, layout.nodes[index].http, "PUT", "/ops/doorways", &configuration).await {
             Some(response) if response.status == 200 => return Ok(String::from_utf8_lossy(&response.body).into()),
             Some(response) => reason = format!("{} {}", response.status, String::from_utf8_lossy(&response.body)),
             None => {}
@@ -106,9 +106,9 @@
 }
 
 /// The primary of a group as elected by the leader of the control nodes.
-pub async fn leader(env: &Env, layout: &Layout, group: &str) -> Option<String> {
-    for machine in layout.hubs.iter().chain(&layout.spokes) {
-        let Some(response) = ask(env, machine.http, "GET", "/ops/leads", "").await else { continue };
+pub async fn elected_primary(env: &Env, layout: &Layout, group: &str) -> Option<String> {
+    for machine in layout.control_nodes.iter().chain(&layout.nodes) {
+        let Some(response) = send_request(env, machine.http, "GET", "/ops/leads", "").await else { continue };
         let text = String::from_utf8_lossy(&response.body).to_string();
         let Some(start) = text.find(&format!("\"group\":\"{group}\",\"server\":\"")) else { continue };
         let entry = &text[start..];
@@ -118,9 +118,9 @@
 }
 
 /// The name of the leading control node.
-pub async fn chief(env: &Env, layout: &Layout) -> Option<String> {
-    for control_node in &layout.hubs {
-        let Some(response) = ask(env, control_node.http, "GET", "/status", "").await else { continue };
+pub async fn leading_control_node(env: &Env, layout: &Layout) -> Option<String> {
+    for control_node in &layout.control_nodes {
+        let Some(response) = send_request(env, control_node.http, "GET", "/status", "").await else { continue };
         if String::from_utf8_lossy(&response.body).contains("\"leads\":true") {
             return Some(control_node.name.clone());
         }
@@ -131,20 +131,20 @@
 /// Runs a fleet under load with the faults of `run`, and checks the history. Fails if the processes cannot be started,
 /// or do not become ready within 40 s.
 pub async fn run(env: &Env, run: &Run) -> Result<Report, String> {
-    let layout = Layout::new(run.machines, run.cap, Layout::free_loopback_ports());
+    let layout = Layout::new(run.nodes, run.max_connections, Layout::free_loopback_ports());
     let mut processes = FleetProcesses::start(run, &layout)?;
     let sequence = configure(env, &layout, Duration::from_secs(20)).await?;
     println!("configuration accepted: {sequence}");
-    ready(env, &layout, Duration::from_secs(20)).await?;
+    wait_until_ready(env, &layout, Duration::from_secs(20)).await?;
     println!("every node is serving");
     let plan = Plan {
-        nodes: layout.nodes(),
+        nodes: layout.load_nodes(),
         sessions: run.sessions,
         rate: run.rate,
-        span: run.span,
+        duration: run.duration,
         keys: 100,
-        leave: 20,
-        patience: Duration::from_secs(5),
+        abandon_one_in: 20,
+        request_timeout: Duration::from_secs(5),
     };
     let history = Rc::new(History::default());
     let load_generator = {
@@ -171,14 +171,14 @@
     env.sleep(Duration::from_secs(3)).await;
     let mut findings = Vec::new();
     let mut logs: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
-    for (index, (db, _, _)) in DOORS.iter().enumerate() {
+    for (index, (db, _, _)) in DATABASES.iter().enumerate() {
         let (group, _) = &layout.groups()[index];
-        let Some(name) = leader(env, &layout, group).await else {
+        let Some(name) = elected_primary(env, &layout, group).await else {
             findings.push(format!("{group} has no primary at the end"));
             continue;
         };
         let Some(server) = layout.servers.iter().find(|server| server.name == name) else { continue };
-        match ask(env, server.addr, "GET", "/dump", "").await.and_then(|r| base::strict::read(&r.body).ok()) {
+        match send_request(env, server.addr, "GET", "/dump", "").await.and_then(|r| base::strict::read(&r.body).ok()) {
             Some(log) => {
                 logs.insert(db, log);
             }
@@ -186,9 +186,9 @@
         }
     }
     for server in &layout.servers {
-        let response = ask(env, server.addr, "GET", "/stats", "").await;
+        let response = send_request(env, server.addr, "GET", "/stats", "").await;
         if let Some(stats) = response.and_then(|r| base::strict::read::<StatsResponse>(&r.body).ok()) {
-            if stats.most_open > layout.cap as u64 || stats.over > 0 {
+            if stats.most_open > layout.max_connections as u64 || stats.over > 0 {
                 findings.push(format!(
                     "{}: at most {} connections open, {} refused over the maximum",
                     server.name, stats.most_open, stats.over
@@ -207,7 +207,7 @@
             }
         }
     }
-    let events = history.events.borrow();
-    findings.extend(check::history(&events, &logs, Duration::from_millis(1500)));
+    let events = history.requests.borrow();
+    findings.extend(check::check_history(&events, &logs, Duration::from_millis(1500)));
     Ok(Report::new(&events, findings))
 }
--- a/kit/src/fleet/processes.rs
+++ b/kit/src/fleet/processes.rs
@@ -30,7 +30,8 @@
     /// Writes the settings files and starts every process of a layout. Fails if a file cannot be written or a program
     /// not be started.
     pub fn start(run: &Run, layout: &Layout) -> Result<Self, String> {
-        let mut fleet = Self { processes: BTreeMap::new(), folder: run.folder.clone(), bins: run.bins.clone() };
+        let mut fleet =
+            Self { processes: BTreeMap::new(), folder: run.folder.clone(), bins: run.program_folder.clone() };
         fs::create_dir_all(&run.folder).map_err(|e| format!("{}: {e}", run.folder.display()))?;
         let write_file = |name: &str, text: String| -> Result<String, String> {
             let path = run.folder.join(name);
@@ -46,22 +47,22 @@
         fleet.add("platform", "kit", "", args)?;
         for server in &layout.servers {
             let mut args: Vec<String> =
-                ["server", "--name", &server.name, "--area", &server.area].map(String::from).to_vec();
-            args.extend(["--addr".into(), server.addr.to_string(), "--cap".into(), layout.cap.to_string()]);
+                ["server", "--name", &server.name, "--area", &server.zone].map(String::from).to_vec();
+            args.extend(["--addr".into(), server.addr.to_string(), "--cap".into(), layout.max_connections.to_string()]);
             args.extend(["--data".into(), run.folder.join(&server.name).display().to_string()]);
-            for node in layout.reporters(&server.area) {
+            for node in layout.report_addresses(&server.zone) {
                 args.extend(["--node".into(), node.to_string()]);
             }
-            fleet.add(&server.name, "kit", &server.area, args)?;
+            fleet.add(&server.name, "kit", &server.zone, args)?;
         }
-        for control_node in &layout.hubs {
+        for control_node in &layout.control_nodes {
             let data = run.folder.join(&control_node.name);
             let path = write_file(&format!("{}.json", control_node.name), layout.settings(control_node, Some(&data)))?;
-            fleet.add(&control_node.name, "hub", &control_node.area, vec!["--file".into(), path])?;
+            fleet.add(&control_node.name, "hub", &control_node.zone, vec!["--file".into(), path])?;
         }
-        for node in &layout.spokes {
+        for node in &layout.nodes {
             let path = write_file(&format!("{}.json", node.name), layout.settings(node, None))?;
-            fleet.add(&node.name, "spoke", &node.area, vec!["--file".into(), path])?;
+            fleet.add(&node.name, "spoke", &node.zone, vec!["--file".into(), path])?;
         }
         Ok(fleet)
     }
--- a/kit/src/fleet/scale.rs
+++ b/kit/src/fleet/scale.rs
@@ -24,7 +24,7 @@
     relay::{NodeIdentity, Relay, RelayHandler},
 };
 
-use super::{FleetProcesses, Layout, Run, ask, chief, configure, ready};
+use super::{FleetProcesses, Layout, Run, configure, leading_control_node, send_request, wait_until_ready};
 
 /// The settings of a scale run.
 #[derive(Clone, Debug)]
@@ -104,10 +104,10 @@
 
     fn fill_heartbeat(&self, heartbeat: &mut NodeHeartbeat) {
         for server in self.servers.iter() {
-            heartbeat.shares.push(HeldShare { server: server.clone(), count: 2, want: 2 });
+            heartbeat.shares.push(HeldShare { server: server.clone(), count: 2, wanted: 2 });
             heartbeat.observations.push(ServerObservation {
                 server: server.clone(),
-                age: 20,
+                age_ms: 20,
                 epoch: 1,
                 index: 7,
                 ..ServerObservation::default()
@@ -171,7 +171,7 @@
 /// The configuration (as JSON) with the groups of the layout, `groups` more, and a route named after `mark`.
 fn configuration_json(layout: &Layout, groups: usize, mark: u64) -> String {
     let mut all_groups: Vec<Group> =
-        layout.groups().iter().map(|(n, s)| Group::with_defaults(n, s, layout.cap as u64)).collect();
+        layout.groups().iter().map(|(n, s)| Group::with_defaults(n, s, layout.max_connections as u64)).collect();
     let servers = |group: usize| (0..3).map(|i| format!("x{group}-{i}")).collect::<Vec<_>>();
     all_groups.extend((0..groups).map(|group| Group::with_defaults(&format!("x{group}"), &servers(group), 60)));
     let mut routes: Vec<Route> = all_groups
@@ -192,11 +192,11 @@
     let listener = env.listen("127.0.0.1:0".parse().expect("an address")).await?;
     let identity = NodeIdentity {
         name: format!("hollow{index}"),
-        zone: layout.areas[index % 3].clone(),
+        zone: layout.zones[index % 3].clone(),
         is_control_node: false,
         peer: listener.addr(),
         http: listener.addr(),
-        seeds: layout.hubs.iter().map(|h| h.peer).collect(),
+        seeds: layout.control_nodes.iter().map(|h| h.peer).collect(),
         boot_id: env.rand(),
     };
     let relay = Relay::new(env, identity, Bounds::default());
@@ -260,14 +260,14 @@
 fn start_fleet(scale: &ScaleRun, name: &str) -> Result<(Layout, FleetProcesses), String> {
     let layout = Layout::new(3, 60, Layout::free_loopback_ports());
     let run = Run {
-        machines: 3,
-        cap: 60,
+        nodes: 3,
+        max_connections: 60,
         sessions: 0,
         rate: 0.0,
-        span: Duration::ZERO,
+        duration: Duration::ZERO,
         steps: Vec::new(),
         folder: scale.folder.join(name),
-        bins: scale.bins.clone(),
+        program_folder: scale.bins.clone(),
     };
     let processes = FleetProcesses::start(&run, &layout)?;
     Ok((layout, processes))
@@ -277,7 +277,7 @@
     let timeout = Duration::from_secs(60);
     let (layout, processes) = start_fleet(scale, &format!("n{node_count}-g{}", scale.groups))?;
     configure(env, &layout, timeout).await?;
-    ready(env, &layout, timeout).await?;
+    wait_until_ready(env, &layout, timeout).await?;
     put_configuration(env, &layout, scale.groups, 0).await?;
     let servers = Rc::new(layout.groups().into_iter().flat_map(|g| g.1).collect::<Vec<_>>());
     let mut nodes = Vec::new();
@@ -294,10 +294,11 @@
     let joined_ms = start.elapsed().as_millis() as u64;
     env.sleep(Duration::from_secs(3)).await;
 
-    let leader = chief(env, &layout).await.ok_or("no control node is the leader")?;
-    let voter = layout.hubs.iter().find(|h| h.name != leader).ok_or("there is only one control node")?.name.clone();
+    let leader = leading_control_node(env, &layout).await.ok_or("no control node is the leader")?;
+    let voter =
+        layout.control_nodes.iter().find(|h| h.name != leader).ok_or("there is only one control node")?.name.clone();
     let pid = |name: &str| processes.pid(name).unwrap_or(0);
-    let pids = [pid(&leader), pid(&voter), pid(&layout.spokes[0].name), std::process::id()];
+    let pids = [pid(&leader), pid(&voter), pid(&layout.nodes[0].name), std::process::id()];
     let before = pids.map(|pid| cpu_ticks_and_peak_mb(pid).0);
     let (bytes_before, measured_from) = (loopback_bytes(), Instant::now());
     let sum_over_nodes = |f: &dyn Fn(&Node) -> u64| nodes.iter().map(f).sum::<u64>();
@@ -359,7 +360,9 @@
     let mut reason = "no node answered".to_string();
     for _ in 0..20 {
         let sent = Instant::now();
-        match ask(env, layout.spokes[0].http, "PUT", "/ops/doorways", &configuration_json(layout, groups, mark)).await {
+        match send_request(env, layout.nodes[0].http, "PUT", "/ops/doorways", &configuration_json(layout, groups, mark))
+            .await
+        {
             Some(response) if response.status == 200 => {
                 let body = String::from_utf8_lossy(&response.body).to_string();
                 let digits: String = body.chars().filter(char::is_ascii_digit).collect();
@@ -378,13 +381,13 @@
     let timeout = Duration::from_secs(60);
     let (layout, processes) = start_fleet(scale, "idle")?;
     configure(env, &layout, timeout).await?;
-    ready(env, &layout, timeout).await?;
-    let pid = processes.pid(&layout.spokes[0].name).unwrap_or(0);
+    wait_until_ready(env, &layout, timeout).await?;
+    let pid = processes.pid(&layout.nodes[0].name).unwrap_or(0);
     let (mut connections, mut results) = (Vec::new(), Vec::new());
     let start = memory_mb(pid, "VmRSS");
     for step in 1..=4 {
         while connections.len() < scale.sessions * step / 4 {
-            let connection = Client::connect(env, layout.spokes[0].http, timeout, 1 << 16).await;
+            let connection = Client::connect(env, layout.nodes[0].http, timeout, 1 << 16).await;
             let mut connection = connection.map_err(|e| e.to_string())?;
             let _ = connection.call("GET", "/status", &[], Default::default(), timeout).await;
             connections.push(connection);
--- a/kit/src/fleet/script.rs
+++ b/kit/src/fleet/script.rs
@@ -5,7 +5,9 @@
 use base::runtime::Env;
 use rustix::process::Signal;
 
-use super::{FleetProcesses, Layout, ask, chief, leader, member_somehow};
+use super::{
+    FleetProcesses, Layout, change_membership_with_retries, elected_primary, leading_control_node, send_request,
+};
 
 /// An action on a running fleet, usually a fault. A string names the process, group or zone that it applies to.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,7 +58,7 @@
 }
 
 /// Parses `SECONDS:WHAT[=NAME]`.
-pub fn parse(text: &str) -> Result<Step, String> {
+pub fn parse_step(text: &str) -> Result<Step, String> {
     let syntax_error = || format!("{text:?} is not SECONDS:WHAT[=NAME]");
     let (time, keyword) = text.split_once(':').ok_or_else(syntax_error)?;
     let time = Duration::try_from_secs_f64(time.parse().map_err(|_| syntax_error())?).map_err(|_| syntax_error())?;
@@ -88,7 +90,7 @@
 
 async fn inject_fault(env: &Env, layout: &Layout, server: &str, body: &str) -> String {
     match layout.servers.iter().find(|target| target.name == server) {
-        Some(target) => match ask(env, target.addr, "POST", "/trouble", body).await {
+        Some(target) => match send_request(env, target.addr, "POST", "/trouble", body).await {
             Some(response) => format!("sent fault {body} to {server}: {}", response.status),
             None => format!("{server} does not answer"),
         },
@@ -98,8 +100,8 @@
 
 async fn post_zone_request(env: &Env, layout: &Layout, zone: &str, verb: &str) -> String {
     let path = format!("/ops/areas/{zone}/{verb}");
-    for node in &layout.spokes {
-        if let Some(response) = ask(env, node.http, "POST", &path, "").await {
+    for node in &layout.nodes {
+        if let Some(response) = send_request(env, node.http, "POST", &path, "").await {
             return format!("zone {zone}, {verb}: {} {}", response.status, String::from_utf8_lossy(&response.body));
         }
     }
@@ -110,8 +112,8 @@
     let Some(target) = layout.servers.iter().find(|target| target.name == server) else {
         return format!("no server {server}");
     };
-    let addresses: Vec<_> = layout.spokes.iter().map(|m| m.http).collect();
-    let is_accepted = member_somehow(env, &addresses, &target.group, server, join).await;
+    let addresses: Vec<_> = layout.nodes.iter().map(|m| m.http).collect();
+    let is_accepted = change_membership_with_retries(env, &addresses, &target.group, server, join).await;
     format!(
         "{server} {} {}: {}",
         if join { "joins" } else { "leaves" },
@@ -123,14 +125,14 @@
 /// Carries out an action and returns a description of the result.
 pub async fn execute(env: &Env, layout: &Layout, processes: &mut FleetProcesses, action: &FleetAction) -> String {
     match action {
-        FleetAction::KillPrimary(group) => match leader(env, layout, group).await {
+        FleetAction::KillPrimary(group) => match elected_primary(env, layout, group).await {
             Some(server) => {
                 processes.kill(&server);
                 format!("killed {server}, primary of {group}")
             }
             None => format!("{group} has no primary to kill"),
         },
-        FleetAction::KillLeader => match chief(env, layout).await {
+        FleetAction::KillLeader => match leading_control_node(env, layout).await {
             Some(control_node) => {
                 processes.kill(&control_node);
                 format!("killed {control_node}, the leading control node")
--- a/kit/src/lib.rs
+++ b/kit/src/lib.rs
@@ -2,8 +2,8 @@
 //! histories, simulation.
 
 pub mod check;
+pub mod check_operators;
 pub mod check_orders;
-pub mod check_words;
 pub mod fleet;
 pub mod load;
 pub mod platform;
--- a/kit/src/load/client_session.rs
+++ b/kit/src/load/client_session.rs
@@ -9,11 +9,11 @@
 };
 use nanoserde::SerJson;
 
-use super::{DOORS, End, Event, History, Kind, Node, Plan};
+use super::{DATABASES, History, Node, Plan, RequestKind, RequestOutcome, RequestRecord};
 use crate::server::{Rows, Statement};
 
 /// The note of a request that its client stopped waiting for.
-pub const GAVE_UP: &str = "given up by its client";
+pub const GAVE_UP_NOTE: &str = "given up by its client";
 
 /// One client with one session, which may move from node to node.
 pub struct ClientSession {
@@ -47,14 +47,14 @@
 impl ClientSession {
     /// A client whose zone and database follow from its number.
     pub fn new(env: &Env, plan: &Plan, history: &Rc<History>, id: u64) -> Self {
-        let mut zones: Vec<String> = plan.nodes.iter().map(|n| n.area.clone()).collect();
+        let mut zones: Vec<String> = plan.nodes.iter().map(|n| n.zone.clone()).collect();
         zones.sort();
         zones.dedup();
-        let weight_sum: u64 = DOORS.iter().map(|d| d.2).sum();
+        let weight_sum: u64 = DATABASES.iter().map(|d| d.2).sum();
         let mut weight_offset = (id * 271) % weight_sum;
         let mut database = 0;
-        while weight_offset >= DOORS[database].2 {
-            weight_offset -= DOORS[database].2;
+        while weight_offset >= DATABASES[database].2 {
+            weight_offset -= DATABASES[database].2;
             database += 1;
         }
         Self {
@@ -103,7 +103,7 @@
     async fn run_request(&mut self, scheduled: Duration) {
         self.gave_up = false;
         let roll = self.env.rand_below(100);
-        match DOORS[self.database].0 {
+        match DATABASES[self.database].0 {
             "pay" if roll < 45 => self.write(scheduled).await,
             "pay" if roll < 70 => self.transaction(scheduled).await,
             "stubs" if roll < 20 => self.write(scheduled).await,
@@ -118,17 +118,25 @@
         format!("k{}", self.env.rand_below(self.plan.keys))
     }
 
-    fn record(&self, kind: Kind, end: End, scheduled: Duration, start: Duration, status: u16, note: &str) {
-        let note = if self.gave_up && status == 0 { GAVE_UP } else { note };
-        self.history.push(Event {
+    fn record(
+        &self,
+        kind: RequestKind,
+        end: RequestOutcome,
+        scheduled: Duration,
+        start: Duration,
+        status: u16,
+        note: &str,
+    ) {
+        let note = if self.gave_up && status == 0 { GAVE_UP_NOTE } else { note };
+        self.history.push(RequestRecord {
             session: self.id,
-            db: DOORS[self.database].0,
+            database: DATABASES[self.database].0,
             kind,
-            end,
-            meant: scheduled,
-            start,
+            outcome: end,
+            scheduled,
+            sent: start,
             done: self.env.now(),
-            code: status,
+            status,
             node: self.node.as_ref().map(|n| n.name.clone()).unwrap_or_default(),
             note: note.into(),
         });
@@ -141,7 +149,7 @@
         self.connection = None;
         self.session_value = None;
         self.connection_pinned = false;
-        let zone_nodes: Vec<Node> = self.plan.nodes.iter().filter(|n| n.area == self.zone).cloned().collect();
+        let zone_nodes: Vec<Node> = self.plan.nodes.iter().filter(|n| n.zone == self.zone).cloned().collect();
         // Tries two nodes of the zone, then two of any zone; an unreachable node is skipped.
         for try_number in 0..4 {
             let candidates =
@@ -162,7 +170,7 @@
     }
 
     async fn execute(&mut self, verb: &str, attempt_id: &str, statement: Option<Statement>) -> Option<Reply> {
-        let path = format!("/db/{}/{verb}", DOORS[self.database].0);
+        let path = format!("/db/{}/{verb}", DATABASES[self.database].0);
         let mut headers = vec![(client::ATTEMPT_ID_HEADER, attempt_id.to_string())];
         if self.token != Token::default() {
             headers.push((client::TOKEN_HEADER, self.token.to_string()));
@@ -171,11 +179,12 @@
         let connection = self.connection.as_mut()?;
         let body = bytes::Bytes::from(body);
         // Some clients stop waiting after a few milliseconds and do not learn the outcome.
-        let give_up_one_in = self.plan.leave * 4;
+        let give_up_one_in = self.plan.abandon_one_in * 4;
         let gives_up = give_up_one_in > 0
             && matches!(verb, "write" | "commit" | "read")
             && self.env.rand_below(give_up_one_in) == 0;
-        let timeout = if gives_up { Duration::from_millis(1 + self.env.rand_below(20)) } else { self.plan.patience };
+        let timeout =
+            if gives_up { Duration::from_millis(1 + self.env.rand_below(20)) } else { self.plan.request_timeout };
         let mut result = connection.call("POST", &path, &headers, body.clone(), timeout).await;
         self.gave_up = gives_up && result.is_err();
         if result.as_ref().err() == Some(&CallError::NotSent)
@@ -186,7 +195,7 @@
             self.disconnect();
             if self.connect().await {
                 let connection = self.connection.as_mut()?;
-                result = connection.call("POST", &path, &headers, body, self.plan.patience).await;
+                result = connection.call("POST", &path, &headers, body, self.plan.request_timeout).await;
             }
         }
         match result {
@@ -217,17 +226,17 @@
         }
     }
 
-    fn request_end(reply: &Option<Reply>) -> (End, u16) {
+    fn request_end(reply: &Option<Reply>) -> (RequestOutcome, u16) {
         match reply {
-            None => (End::Unknown, 0),
+            None => (RequestOutcome::Unknown, 0),
             Some(r) => {
                 let end = match (r.status, r.outcome.as_str()) {
-                    (_, "unknown") => End::Unknown,
-                    (200..300, "yes") => End::Good,
-                    (200..300, _) => End::Unknown,
-                    (503, "no") => End::Refused,
-                    (_, "no") => End::Failed,
-                    _ => End::Unknown,
+                    (_, "unknown") => RequestOutcome::Unknown,
+                    (200..300, "yes") => RequestOutcome::Good,
+                    (200..300, _) => RequestOutcome::Unknown,
+                    (503, "no") => RequestOutcome::Refused,
+                    (_, "no") => RequestOutcome::Failed,
+                    _ => RequestOutcome::Unknown,
                 };
                 (end, r.status)
             }
@@ -235,19 +244,19 @@
     }
 
     fn next_attempt_id(&self) -> String {
-        format!("s{}-{}", self.id, self.history.numbers.next())
+        format!("s{}-{}", self.id, self.history.ids.next())
     }
 
     async fn write(&mut self, scheduled: Duration) {
-        let (send, key) = (self.next_attempt_id(), self.random_key());
-        let val = format!("v{}", self.history.numbers.next());
+        let (attempt_id, key) = (self.next_attempt_id(), self.random_key());
+        let val = format!("v{}", self.history.ids.next());
         let start = self.env.now();
-        let kind = Kind::Write { send: send.clone(), adds: vec![(key.clone(), val.clone())] };
+        let kind = RequestKind::Write { attempt_id: attempt_id.clone(), appended: vec![(key.clone(), val.clone())] };
         if !self.connect().await {
-            return self.record(kind, End::Failed, scheduled, start, 0, "no node");
+            return self.record(kind, RequestOutcome::Failed, scheduled, start, 0, "no node");
         }
         let statement = Statement { op: "add".into(), key, val, who: String::new() };
-        let reply = self.execute("write", &send, Some(statement)).await;
+        let reply = self.execute("write", &attempt_id, Some(statement)).await;
         let (end, status) = Self::request_end(&reply);
         self.record(kind, end, scheduled, start, status, &failure_note(&reply));
     }
@@ -255,88 +264,135 @@
     async fn read(&mut self, scheduled: Duration) {
         let key = self.random_key();
         let start = self.env.now();
-        let (db, promise, _) = DOORS[self.database];
+        let (db, consistency, _) = DATABASES[self.database];
         let _ = db;
         if !self.connect().await {
-            let kind = Kind::Read { key, vals: Vec::new(), promise };
-            return self.record(kind, End::Failed, scheduled, start, 0, "no node");
+            let kind = RequestKind::Read { key, values: Vec::new(), consistency };
+            return self.record(kind, RequestOutcome::Failed, scheduled, start, 0, "no node");
         }
         let statement = Statement { op: "get".into(), key: key.clone(), val: String::new(), who: String::new() };
         let reply = self.execute("read", "", Some(statement)).await;
         let rows = reply.as_ref().filter(|r| r.status == 200).and_then(|r| base::strict::read::<Rows>(&r.body).ok());
         let (end, status) = match (&reply, &rows) {
-            (Some(r), Some(_)) => (End::Good, r.status),
-            (Some(r), None) if r.status == 503 => (End::Refused, 503),
-            (Some(r), None) => (End::Failed, r.status),
-            (None, _) => (End::Failed, 0),
+            (Some(r), Some(_)) => (RequestOutcome::Good, r.status),
+            (Some(r), None) if r.status == 503 => (RequestOutcome::Refused, 503),
+            (Some(r), None) => (RequestOutcome::Failed, r.status),
+            (None, _) => (RequestOutcome::Failed, 0),
         };
-        let vals = rows.map(|r| r.vals).unwrap_or_default();
-        self.record(Kind::Read { key, vals, promise }, end, scheduled, start, status, &failure_note(&reply));
+        let values = rows.map(|r| r.vals).unwrap_or_default();
+        self.record(
+            RequestKind::Read { key, values, consistency },
+            end,
+            scheduled,
+            start,
+            status,
+            &failure_note(&reply),
+        );
     }
 
     async fn transaction(&mut self, scheduled: Duration) {
-        let (send, writes) = (self.next_attempt_id(), 1 + self.env.rand_below(12));
+        let (attempt_id, writes) = (self.next_attempt_id(), 1 + self.env.rand_below(12));
         let start = self.env.now();
-        let mut adds = Vec::new();
-        let abandon = self.plan.leave > 0 && self.env.rand_below(self.plan.leave) == 0;
+        let mut appended = Vec::new();
+        let abandon = self.plan.abandon_one_in > 0 && self.env.rand_below(self.plan.abandon_one_in) == 0;
         if !self.connect().await {
-            return self.record(Kind::Write { send, adds }, End::Failed, scheduled, start, 0, "no node");
+            return self.record(
+                RequestKind::Write { attempt_id, appended },
+                RequestOutcome::Failed,
+                scheduled,
+                start,
+                0,
+                "no node",
+            );
         }
-        let reply = self.execute("begin", &send, None).await;
+        let reply = self.execute("begin", &attempt_id, None).await;
         if reply.as_ref().is_none_or(|r| r.status != 200) {
             // Nothing can be committed of a transaction whose commit was never sent.
-            let end = if reply.as_ref().is_some_and(|r| r.status == 503) { End::Refused } else { End::Failed };
+            let end = if reply.as_ref().is_some_and(|r| r.status == 503) {
+                RequestOutcome::Refused
+            } else {
+                RequestOutcome::Failed
+            };
             let status = reply.as_ref().map_or(0, |r| r.status);
             self.disconnect();
-            return self.record(Kind::Write { send, adds }, end, scheduled, start, status, &failure_note(&reply));
+            return self.record(
+                RequestKind::Write { attempt_id, appended },
+                end,
+                scheduled,
+                start,
+                status,
+                &failure_note(&reply),
+            );
         }
         self.connection_pinned = true;
         for _ in 0..writes {
-            let (key, val) = (self.random_key(), format!("v{}", self.history.numbers.next()));
-            adds.push((key.clone(), val.clone()));
+            let (key, val) = (self.random_key(), format!("v{}", self.history.ids.next()));
+            appended.push((key.clone(), val.clone()));
             let statement = Statement { op: "add".into(), key, val, who: String::new() };
-            let reply = self.execute("write", &send, Some(statement)).await;
+            let reply = self.execute("write", &attempt_id, Some(statement)).await;
             if reply.as_ref().is_none_or(|r| r.status != 200) {
-                let end = if reply.as_ref().is_some_and(|r| r.status == 503) { End::Refused } else { End::Failed };
+                let end = if reply.as_ref().is_some_and(|r| r.status == 503) {
+                    RequestOutcome::Refused
+                } else {
+                    RequestOutcome::Failed
+                };
                 let status = reply.as_ref().map_or(0, |r| r.status);
                 self.disconnect();
-                return self.record(Kind::Write { send, adds }, end, scheduled, start, status, &failure_note(&reply));
+                return self.record(
+                    RequestKind::Write { attempt_id, appended },
+                    end,
+                    scheduled,
+                    start,
+                    status,
+                    &failure_note(&reply),
+                );
             }
         }
         if abandon {
             self.disconnect();
             return self.record(
-                Kind::Write { send, adds },
-                End::Left,
+                RequestKind::Write { attempt_id, appended },
+                RequestOutcome::Left,
                 scheduled,
                 start,
                 0,
                 "abandoned before its commit",
             );
         }
-        let reply = self.execute("commit", &send, None).await;
+        let reply = self.execute("commit", &attempt_id, None).await;
         self.connection_pinned = false;
         let (end, status) = Self::request_end(&reply);
-        self.record(Kind::Write { send, adds }, end, scheduled, start, status, &failure_note(&reply));
+        self.record(RequestKind::Write { attempt_id, appended }, end, scheduled, start, status, &failure_note(&reply));
     }
 
     /// Sets a session value if there is none, and reads it back.
     async fn check_session_value(&mut self, scheduled: Duration) {
         let start = self.env.now();
         if !self.connect().await {
-            return self.record(Kind::Step, End::Failed, scheduled, start, 0, "no node");
+            return self.record(
+                RequestKind::FailedSessionValue,
+                RequestOutcome::Failed,
+                scheduled,
+                start,
+                0,
+                "no node",
+            );
         }
         let who = format!("s{}", self.id);
         if self.session_value.is_none() {
-            let val = format!("{who}-{}", self.history.numbers.next());
+            let val = format!("{who}-{}", self.history.ids.next());
             let statement = Statement { op: "set".into(), key: "tz".into(), val: val.clone(), who: who.clone() };
             let reply = self.execute("set", "", Some(statement)).await;
             if reply.as_ref().is_none_or(|r| r.status != 200) {
-                let end = if reply.as_ref().is_some_and(|r| r.status == 503) { End::Refused } else { End::Failed };
+                let end = if reply.as_ref().is_some_and(|r| r.status == 503) {
+                    RequestOutcome::Refused
+                } else {
+                    RequestOutcome::Failed
+                };
                 // Whether the value was set is not known; a new session certainly has none.
                 self.disconnect();
                 return self.record(
-                    Kind::Step,
+                    RequestKind::FailedSessionValue,
                     end,
                     scheduled,
                     start,
@@ -348,9 +404,16 @@
         }
         if self.connection.is_none() {
             // The response closed the connection, which is allowed: the session is over.
-            return self.record(Kind::Step, End::Left, scheduled, start, 0, "session ended");
+            return self.record(
+                RequestKind::FailedSessionValue,
+                RequestOutcome::Left,
+                scheduled,
+                start,
+                0,
+                "session ended",
+            );
         }
-        let want = self.session_value.clone().unwrap_or_default();
+        let expected = self.session_value.clone().unwrap_or_default();
         let statement = Statement { op: "show".into(), key: "tz".into(), val: String::new(), who };
         self.connection_pinned = true;
         let reply = self.execute("read", "", Some(statement)).await;
@@ -358,13 +421,17 @@
         let rows = reply.as_ref().filter(|r| r.status == 200).and_then(|r| base::strict::read::<Rows>(&r.body).ok());
         match rows {
             Some(r) => {
-                let got = r.vals.join(",");
-                self.record(Kind::Value { want, got }, End::Good, scheduled, start, 200, "");
+                let actual = r.vals.join(",");
+                self.record(RequestKind::Value { expected, actual }, RequestOutcome::Good, scheduled, start, 200, "");
             }
             None => {
-                let end = if reply.as_ref().is_some_and(|r| r.status == 503) { End::Refused } else { End::Failed };
+                let end = if reply.as_ref().is_some_and(|r| r.status == 503) {
+                    RequestOutcome::Refused
+                } else {
+                    RequestOutcome::Failed
+                };
                 self.record(
-                    Kind::Step,
+                    RequestKind::FailedSessionValue,
                     end,
                     scheduled,
                     start,
--- a/kit/src/load/faulty_clients.rs
+++ b/kit/src/load/faulty_clients.rs
@@ -9,7 +9,7 @@
 };
 use nanoserde::SerJson;
 
-use super::{End, Event, History, Kind, Node};
+use super::{History, Node, RequestKind, RequestOutcome, RequestRecord};
 use crate::server::Statement;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -20,7 +20,7 @@
 
 /// Sends a write whose connection closes before the whole body is sent, at a point where the part that was sent is a
 /// complete statement by itself. The node must not execute it.
-pub async fn cut_short(env: &Env, addr: SocketAddr, id: u64) {
+pub async fn send_truncated_write(env: &Env, addr: SocketAddr, id: u64) {
     let Ok(mut io) = env.connect(addr, CALL_TIMEOUT).await else { return };
     let body = add_statement("k1", &format!("cut{id}"));
     let text = format!(
@@ -43,31 +43,31 @@
 
 /// Sends one attempt (the same attempt id) to a node three times: over two connections concurrently, and once more
 /// afterwards. It must take effect at most once.
-pub async fn thrice(env: &Env, node: &Node, history: &Rc<History>) {
-    let n = history.numbers.next();
-    let (send, val, start) = (format!("twice-{n}"), format!("v{n}"), env.now());
+pub async fn send_same_attempt_three_times(env: &Env, node: &Node, history: &Rc<History>) {
+    let n = history.ids.next();
+    let (attempt_id, val, start) = (format!("twice-{n}"), format!("v{n}"), env.now());
     let call = || async {
         let mut connection = Client::connect(env, node.addr, CALL_TIMEOUT, 1 << 16).await.ok()?;
-        let headers = [(client::ATTEMPT_ID_HEADER, send.clone())];
+        let headers = [(client::ATTEMPT_ID_HEADER, attempt_id.clone())];
         connection.call("POST", "/db/pay/write", &headers, add_statement("k2", &val).into(), CALL_TIMEOUT).await.ok()
     };
     let (first, second) = futures::future::join(call(), call()).await;
     let third = call().await;
     let outcomes = [write_outcome(&first), write_outcome(&second), write_outcome(&third)];
     let end = match () {
-        () if outcomes.contains(&"yes") => End::Good,
-        () if outcomes.contains(&"unknown") => End::Unknown,
-        () => End::Refused,
+        () if outcomes.contains(&"yes") => RequestOutcome::Good,
+        () if outcomes.contains(&"unknown") => RequestOutcome::Unknown,
+        () => RequestOutcome::Refused,
     };
-    history.push(Event {
+    history.push(RequestRecord {
         session: u64::MAX,
-        db: "pay",
-        kind: Kind::Write { send, adds: vec![("k2".into(), val)] },
-        end,
-        meant: start,
-        start,
+        database: "pay",
+        kind: RequestKind::Write { attempt_id, appended: vec![("k2".into(), val)] },
+        outcome: end,
+        scheduled: start,
+        sent: start,
         done: env.now(),
-        code: first.as_ref().map_or(0, |r| r.status),
+        status: first.as_ref().map_or(0, |r| r.status),
         node: node.name.clone(),
         note: outcomes.join(" "),
     });
--- a/kit/src/load/history.rs
+++ b/kit/src/load/history.rs
@@ -6,7 +6,7 @@
 
 /// The outcome of a request as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum RequestOutcome {
     /// Succeeded; a write is committed.
     Good,
     /// Refused with a time after which to retry; nothing was committed.
@@ -21,33 +21,33 @@
 
 /// The kind of a request, with what it wrote or read.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A write or a transaction: the attempt id, and the keys and values that it adds.
-    Write { send: String, adds: Vec<(String, String)> },
+    Write { attempt_id: String, appended: Vec<(String, String)> },
     /// A read: the values returned, and the consistency level of the route.
-    Read { key: String, vals: Vec<String>, promise: &'static str },
+    Read { key: String, values: Vec<String>, consistency: &'static str },
     /// A session value: the value that was set, and the value read back.
-    Value { want: String, got: String },
+    Value { expected: String, actual: String },
     /// Setting or reading a session value that did not succeed.
-    Step,
+    FailedSessionValue,
 }
 
 /// One request of a client. Times are those of the runtime clock.
 #[derive(Clone, Debug)]
-pub struct Event {
+pub struct RequestRecord {
     /// Number of the client session.
     pub session: u64,
-    pub db: &'static str,
-    pub kind: Kind,
-    pub end: End,
+    pub database: &'static str,
+    pub kind: RequestKind,
+    pub outcome: RequestOutcome,
     /// When the request was scheduled; latencies are measured from here.
-    pub meant: Duration,
+    pub scheduled: Duration,
     /// When it was sent.
-    pub start: Duration,
+    pub sent: Duration,
     /// When its outcome was known.
     pub done: Duration,
     /// The HTTP status, 0 without a response.
-    pub code: u16,
+    pub status: u16,
     /// The node that the request was sent to.
     pub node: String,
     /// The reason of a failure, empty otherwise.
@@ -57,13 +57,13 @@
 /// All requests of a run.
 #[derive(Default)]
 pub struct History {
-    pub events: RefCell<Vec<Event>>,
-    pub numbers: IdSequence,
+    pub requests: RefCell<Vec<RequestRecord>>,
+    pub ids: IdSequence,
 }
 
 impl History {
     /// Appends a request.
-    pub fn push(&self, event: Event) {
-        self.events.borrow_mut().push(event);
+    pub fn push(&self, event: RequestRecord) {
+        self.requests.borrow_mut().push(event);
     }
 }
--- a/kit/src/load/mod.rs
+++ b/kit/src/load/mod.rs
@@ -11,10 +11,10 @@
 
 use base::runtime::Env;
 
-pub use client_session::{ClientSession, GAVE_UP};
-pub use faulty_clients::{cut_short, thrice};
-pub use history::{End, Event, History, Kind};
-pub use operator::{Emptied, MOVED_ROUTE, Operator, Sent, Sight, Words};
+pub use client_session::{ClientSession, GAVE_UP_NOTE};
+pub use faulty_clients::{send_same_attempt_three_times, send_truncated_write};
+pub use history::{History, RequestKind, RequestOutcome, RequestRecord};
+pub use operator::{Evacuation, MOVED_ROUTE, Operator, OperatorHistory, RouteObservation, SentChange};
 pub use report::{Report, WorkloadRow};
 
 /// A node that clients can connect to.
@@ -22,7 +22,7 @@
 pub struct Node {
     pub name: String,
     /// The node's zone.
-    pub area: String,
+    pub zone: String,
     /// The node's HTTP address.
     pub addr: SocketAddr,
 }
@@ -36,17 +36,18 @@
     /// Requests per second, over all sessions.
     pub rate: f64,
     /// How long requests are sent.
-    pub span: Duration,
+    pub duration: Duration,
     /// Number of keys in each database.
     pub keys: u64,
     /// One in this many transactions is abandoned before its commit; 0 for none.
-    pub leave: u64,
+    pub abandon_one_in: u64,
     /// How long a client waits for a response.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 /// The three databases: name, consistency level of the route, and weight (the weights add up to 440).
-pub const DOORS: [(&str, &str, u64); 3] = [("pay", "leader", 200), ("stubs", "bound", 90), ("hours", "session", 150)];
+pub const DATABASES: [(&str, &str, u64); 3] =
+    [("pay", "leader", 200), ("stubs", "bound", 90), ("hours", "session", 150)];
 
 /// The configuration (as JSON) with a route for each database of [`DOORS`], spread over `groups`; `cap` is the maximum
 /// number of connections of each server.
@@ -58,7 +59,7 @@
     };
     let configuration = Configuration {
         after: None,
-        doorways: DOORS.iter().enumerate().map(route).collect(),
+        doorways: DATABASES.iter().enumerate().map(route).collect(),
         groups: groups.iter().map(|(name, servers)| Group::with_defaults(name, servers, cap)).collect(),
         limits: None,
         number: None,
@@ -86,10 +87,10 @@
             session_ended.notify_waiters();
         }));
     }
-    env.sleep(plan.span).await;
+    env.sleep(plan.duration).await;
     stop.set(true);
     let all_ended = session_ended.wait_until(|| (running_sessions.get() == 0).then_some(()));
-    let _ = env.timeout(plan.patience * 20, all_ended).await;
+    let _ = env.timeout(plan.request_timeout * 20, all_ended).await;
 }
 
 /// A sequence of numbers shared by all sessions, so that no two use the same one.
--- a/kit/src/load/operator.rs
+++ b/kit/src/load/operator.rs
@@ -23,7 +23,7 @@
 
 /// A configuration change that an operator sent, and its outcome.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentChange {
     /// The configuration sequence that the change gets if it takes effect.
     pub sequence: u64,
     /// The group that the moved route leads to after the change.
@@ -32,20 +32,20 @@
     /// When the change was acknowledged.
     pub acked: Option<Duration>,
     /// Whether the change certainly never takes effect (it was refused).
-    pub void: bool,
+    pub never_applies: bool,
 }
 
 /// The evacuation of a zone, from its acknowledgement until the request to end it was sent.
 #[derive(Clone, Debug)]
-pub struct Emptied {
-    pub area: String,
+pub struct Evacuation {
+    pub zone: String,
     pub from: Duration,
     pub until: Option<Duration>,
 }
 
 /// A read over the moved route: the group that served it, and when.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct RouteObservation {
     pub node: String,
     pub group: String,
     pub start: Duration,
@@ -54,34 +54,34 @@
 
 /// What operators sent and observed, for the checkers.
 #[derive(Default)]
-pub struct Words {
-    pub sent: RefCell<Vec<Sent>>,
-    pub emptied: RefCell<Vec<Emptied>>,
-    pub sights: RefCell<Vec<Sight>>,
+pub struct OperatorHistory {
+    pub changes: RefCell<Vec<SentChange>>,
+    pub evacuations: RefCell<Vec<Evacuation>>,
+    pub observations: RefCell<Vec<RouteObservation>>,
     /// Findings that operators made themselves.
-    pub faults: RefCell<Vec<String>>,
+    pub findings: RefCell<Vec<String>>,
     /// For each evacuated zone and each server removed from its group: the time after which no work may reach it.
-    pub closed: Rc<RefCell<BTreeMap<String, Duration>>>,
+    pub no_work_after: Rc<RefCell<BTreeMap<String, Duration>>>,
     /// Number of acknowledged changes.
-    pub acked: Cell<u64>,
+    pub acknowledged: Cell<u64>,
     /// Number of changes refused because of a version conflict.
     pub conflicts: Cell<u64>,
     /// Number of changes refused for another reason.
     pub refused: Cell<u64>,
 }
 
-impl Words {
+impl OperatorHistory {
     /// Records that the evacuation of a zone was acknowledged at `now`; no work may reach the zone later than `bound`
     /// after that.
-    pub fn emptied(&self, zone: &str, now: Duration, bound: Duration) {
-        self.closed.borrow_mut().insert(zone.into(), now + bound);
-        self.emptied.borrow_mut().push(Emptied { area: zone.into(), from: now, until: None });
+    pub fn record_evacuation(&self, zone: &str, now: Duration, bound: Duration) {
+        self.no_work_after.borrow_mut().insert(zone.into(), now + bound);
+        self.evacuations.borrow_mut().push(Evacuation { zone: zone.into(), from: now, until: None });
     }
 
     /// Records that the request to end the evacuation of a zone is about to be sent.
-    pub fn taken_back(&self, zone: &str, now: Duration) {
-        self.closed.borrow_mut().remove(zone);
-        self.emptied.borrow_mut().iter_mut().filter(|e| e.area == zone && e.until.is_none()).for_each(|e| {
+    pub fn record_evacuation_end(&self, zone: &str, now: Duration) {
+        self.no_work_after.borrow_mut().remove(zone);
+        self.evacuations.borrow_mut().iter_mut().filter(|e| e.zone == zone && e.until.is_none()).for_each(|e| {
             e.until = Some(now);
         });
     }
@@ -92,14 +92,14 @@
     pub env: Env,
     pub nodes: Vec<Node>,
     /// The control nodes.
-    pub hubs: Vec<Node>,
+    pub control_nodes: Vec<Node>,
     /// Each group with its servers, spares included.
     pub groups: Vec<(String, Vec<String>)>,
-    pub words: Rc<Words>,
+    pub history: Rc<OperatorHistory>,
     /// Whether the operator also evacuates zones.
-    pub areas: bool,
+    pub evacuates_zones: bool,
     /// How long after an acknowledged evacuation work may still reach the zone.
-    pub empty: Duration,
+    pub evacuation_bound: Duration,
 }
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -119,18 +119,19 @@
 
 impl Operator {
     fn random_address(&self) -> SocketAddr {
-        let count = self.nodes.len() + self.hubs.len();
+        let count = self.nodes.len() + self.control_nodes.len();
         let index = self.env.rand_below(count as u64) as usize;
-        self.nodes.iter().chain(&self.hubs).nth(index).expect("the deployment has at least one node").addr
+        self.nodes.iter().chain(&self.control_nodes).nth(index).expect("the deployment has at least one node").addr
     }
 
     async fn request(&self, addr: SocketAddr, method: &str, path: &str, body: String) -> Option<(u16, Bytes)> {
-        let response = Client::once(&self.env, addr, method, path, &[], body.into(), CALL_TIMEOUT).await.ok()?;
+        let response =
+            Client::connect_and_call(&self.env, addr, method, path, &[], body.into(), CALL_TIMEOUT).await.ok()?;
         Some((response.status, response.body))
     }
 
     fn record_fault(&self, text: String) {
-        self.words.faults.borrow_mut().push(text);
+        self.history.findings.borrow_mut().push(text);
     }
 
     /// Reads the configuration back from a random node. It must be at least as new as the newest change acknowledged
@@ -148,7 +149,7 @@
                 return None;
             }
         };
-        let sent = self.words.sent.borrow();
+        let sent = self.history.changes.borrow();
         let newest =
             sent.iter().filter(|change| change.acked.is_some_and(|a| a < start)).map(|change| change.sequence).max();
         if newest.is_some_and(|n| configuration.sequence < n) {
@@ -187,18 +188,24 @@
         addr: SocketAddr,
     ) -> bool {
         let index = {
-            let mut sent = self.words.sent.borrow_mut();
-            sent.push(Sent { sequence, group: group.into(), sent: self.env.now(), acked: None, void: false });
+            let mut sent = self.history.changes.borrow_mut();
+            sent.push(SentChange {
+                sequence,
+                group: group.into(),
+                sent: self.env.now(),
+                acked: None,
+                never_applies: false,
+            });
             sent.len() - 1
         };
         let response = self.request(addr, method, path, body).await;
         let now = self.env.now();
-        let operator_history = &self.words;
-        let mut sent = operator_history.sent.borrow_mut();
+        let operator_history = &self.history;
+        let mut sent = operator_history.changes.borrow_mut();
         match response {
             Some((200, body)) => {
                 sent[index].acked = Some(now);
-                operator_history.acked.set(operator_history.acked.get() + 1);
+                operator_history.acknowledged.set(operator_history.acknowledged.get() + 1);
                 let response_body = String::from_utf8_lossy(&body).to_string();
                 if method == "PATCH" && response_body != format!("{{\"sequence\":{sequence}}}") {
                     drop(sent);
@@ -210,12 +217,12 @@
                 true
             }
             Some((409, _)) => {
-                sent[index].void = true;
+                sent[index].never_applies = true;
                 operator_history.conflicts.set(operator_history.conflicts.get() + 1);
                 false
             }
             Some((400..=499 | 503 | 507, _)) => {
-                sent[index].void = true;
+                sent[index].never_applies = true;
                 operator_history.refused.set(operator_history.refused.get() + 1);
                 false
             }
@@ -251,16 +258,16 @@
     }
 
     async fn evacuate_and_restore_zone(&self) {
-        let mut zones: Vec<String> = self.nodes.iter().map(|n| n.area.clone()).collect();
+        let mut zones: Vec<String> = self.nodes.iter().map(|n| n.zone.clone()).collect();
         zones.sort();
         zones.dedup();
         let zone = zones[self.env.rand_below(zones.len() as u64) as usize].clone();
         let path = format!("/ops/areas/{zone}/empty");
         if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
-            self.words.emptied(&zone, self.env.now(), self.empty);
+            self.history.record_evacuation(&zone, self.env.now(), self.evacuation_bound);
         }
         self.env.sleep(Duration::from_millis(6000 + self.env.rand_below(4000))).await;
-        self.words.taken_back(&zone, self.env.now());
+        self.history.record_evacuation_end(&zone, self.env.now());
         let path = format!("/ops/areas/{zone}/take-back");
         for _ in 0..60 {
             if let Some((200, _)) = self.request(self.random_address(), "POST", &path, String::new()).await {
@@ -272,7 +279,7 @@
 
     /// Runs the operator until `stop` is set: reads the configuration back and then, at random, sends a change, two
     /// concurrent changes, a change based on an outdated version, an invalid configuration or an evacuation.
-    pub async fn work(&self, stop: &Rc<Cell<bool>>) {
+    pub async fn run(&self, stop: &Rc<Cell<bool>>) {
         while !stop.get() {
             self.env.sleep(Duration::from_millis(200 + self.env.rand_below(1500))).await;
             let Some(configuration) = self.read_back().await else { continue };
@@ -295,14 +302,14 @@
                     ));
                 }
                 7..=8 => self.send_invalid().await,
-                _ if self.areas => self.evacuate_and_restore_zone().await,
+                _ if self.evacuates_zones => self.evacuate_and_restore_zone().await,
                 _ => {}
             }
         }
     }
 
     /// Reads over the moved route at one node until `stop` is set, and records which group served each read.
-    pub async fn witness(&self, node: &Node, stop: &Rc<Cell<bool>>) {
+    pub async fn observe_route(&self, node: &Node, stop: &Rc<Cell<bool>>) {
         let mut connection: Option<Client> = None;
         while !stop.get() {
             self.env.sleep(Duration::from_millis(150 + self.env.rand_below(200))).await;
@@ -319,7 +326,7 @@
             };
             if let (200, Some(server)) = (response.status, response.header(base::edge::client::SERVER_HEADER)) {
                 let group = self.groups.iter().find(|g| g.1.iter().any(|s| s == server)).map(|g| g.0.clone());
-                self.words.sights.borrow_mut().push(Sight {
+                self.history.observations.borrow_mut().push(RouteObservation {
                     node: node.name.clone(),
                     group: group.unwrap_or_default(),
                     start,
--- a/kit/src/load/report.rs
+++ b/kit/src/load/report.rs
@@ -4,7 +4,7 @@
 
 use base::strict;
 
-use super::{End, Event, GAVE_UP, Kind};
+use super::{GAVE_UP_NOTE, RequestKind, RequestOutcome, RequestRecord};
 
 strict! {
     /// Outcome counts and latencies of one kind of request.
@@ -46,30 +46,33 @@
     }
 }
 
-fn workload_label(event: &Event) -> String {
+fn workload_label(event: &RequestRecord) -> String {
     let kind = match &event.kind {
-        Kind::Write { adds, .. } if adds.len() > 1 => "transaction",
-        Kind::Write { .. } => "write",
-        Kind::Read { .. } => "read",
-        Kind::Value { .. } | Kind::Step => "session value",
+        RequestKind::Write { appended: adds, .. } if adds.len() > 1 => "transaction",
+        RequestKind::Write { .. } => "write",
+        RequestKind::Read { .. } => "read",
+        RequestKind::Value { .. } | RequestKind::FailedSessionValue => "session value",
     };
-    format!("{} {kind}", event.db)
+    format!("{} {kind}", event.database)
 }
 
 impl Report {
     /// Summarizes a history. Latency counts from the time for which a request was scheduled, so it includes the time
     /// that the request waited for its session.
-    pub fn new(events: &[Event], findings: Vec<String>) -> Self {
-        let mut by_label: BTreeMap<String, Vec<&Event>> = BTreeMap::new();
+    pub fn new(events: &[RequestRecord], findings: Vec<String>) -> Self {
+        let mut by_label: BTreeMap<String, Vec<&RequestRecord>> = BTreeMap::new();
         for event in events {
             by_label.entry(workload_label(event)).or_default().push(event);
         }
         let rows = by_label
             .into_iter()
             .map(|(what, requests)| {
-                let count = |end: End| requests.iter().filter(|e| e.end == end).count() as u64;
-                let mut times: Vec<Duration> =
-                    requests.iter().filter(|e| e.end == End::Good).map(|e| e.done - e.meant.min(e.start)).collect();
+                let count = |end: RequestOutcome| requests.iter().filter(|e| e.outcome == end).count() as u64;
+                let mut times: Vec<Duration> = requests
+                    .iter()
+                    .filter(|e| e.outcome == RequestOutcome::Good)
+                    .map(|e| e.done - e.scheduled.min(e.sent))
+                    .collect();
                 times.sort();
                 let quantile_ms = |fraction: f64| {
                     let index = ((times.len() as f64 * fraction).ceil() as usize).saturating_sub(1);
@@ -77,11 +80,11 @@
                 };
                 WorkloadRow {
                     what,
-                    good: count(End::Good),
-                    refused: count(End::Refused),
-                    failed: count(End::Failed),
-                    unknown: count(End::Unknown),
-                    left: count(End::Left),
+                    good: count(RequestOutcome::Good),
+                    refused: count(RequestOutcome::Refused),
+                    failed: count(RequestOutcome::Failed),
+                    unknown: count(RequestOutcome::Unknown),
+                    left: count(RequestOutcome::Left),
                     p50_ms: quantile_ms(0.5),
                     p90_ms: quantile_ms(0.9),
                     p99_ms: quantile_ms(0.99),
@@ -89,19 +92,19 @@
                 }
             })
             .collect();
-        let start = events.iter().map(|e| e.meant).min().unwrap_or_default();
-        let last = events.iter().map(|e| e.meant).max().unwrap_or_default();
+        let start = events.iter().map(|e| e.scheduled).min().unwrap_or_default();
+        let last = events.iter().map(|e| e.scheduled).max().unwrap_or_default();
         let seconds = (last - start).as_secs() as usize + 1;
         let (mut asked, mut good) = (vec![0; seconds], vec![0; seconds]);
         let mut reasons: BTreeMap<String, u64> = BTreeMap::new();
-        for event in events.iter().filter(|e| e.end != End::Left && e.note != GAVE_UP) {
-            let second = (event.meant - start).as_secs() as usize;
+        for event in events.iter().filter(|e| e.outcome != RequestOutcome::Left && e.note != GAVE_UP_NOTE) {
+            let second = (event.scheduled - start).as_secs() as usize;
             asked[second] += 1;
-            if event.end == End::Good {
+            if event.outcome == RequestOutcome::Good {
                 good[second] += 1;
             } else {
                 let reason = event.note.split('"').nth(3).unwrap_or(&event.note);
-                *reasons.entry(format!("{:?} {} {reason}", event.end, event.code)).or_default() += 1;
+                *reasons.entry(format!("{:?} {} {reason}", event.outcome, event.status)).or_default() += 1;
             }
         }
         let (asked_sum, good_sum): (u64, u64) = (asked.iter().sum(), good.iter().sum());
--- a/kit/src/main.rs
+++ b/kit/src/main.rs
@@ -8,7 +8,7 @@
 use kit::{
     fleet::{self, Run},
     load,
-    platform::{Known, Platform},
+    platform::{Platform, PlatformServer},
     server::{Server, Setup},
 };
 use tool::{
@@ -32,7 +32,7 @@
                 let (zone, addr) =
                     text.split_once(',').unwrap_or_else(|| usage_error(format!("--node {text:?}: ZONE,ADDRESS")));
                 let addr = addr.parse().unwrap_or_else(|_| usage_error(format!("--node {text:?}: not an address")));
-                load::Node { name: format!("node{}", index + 1), area: zone.into(), addr }
+                load::Node { name: format!("node{}", index + 1), zone: zone.into(), addr }
             };
             let nodes: Vec<_> = args.node.iter().enumerate().map(node).collect();
             if nodes.is_empty() || args.rate <= 0.0 || args.sessions == 0 || args.seconds <= 0.0 {
@@ -44,31 +44,31 @@
                 nodes,
                 sessions: args.sessions,
                 rate: args.rate,
-                span: Duration::from_secs_f64(args.seconds),
+                duration: Duration::from_secs_f64(args.seconds),
                 keys: 100,
-                leave: 20,
-                patience: Duration::from_secs(5),
+                abandon_one_in: 20,
+                request_timeout: Duration::from_secs(5),
             };
             let history = std::rc::Rc::default();
             load::run(&env, &plan, &history).await;
-            print_report(&load::Report::new(&history.events.borrow(), Vec::new()), args.json);
+            print_report(&load::Report::new(&history.requests.borrow(), Vec::new()), args.json);
         }
         Tool::Server(args) => {
             let data = args.data.map(|d| d.display().to_string());
             let env = boot::system_env(data.as_deref());
             let setup = Setup {
                 name: args.name,
-                area: args.area,
+                zone: args.area,
                 addr: args.addr,
-                nodes: args.node,
-                cap: args.cap,
-                warm: Duration::from_secs_f64(args.warm.max(0.0)),
-                work: Duration::from_millis(1),
-                closed: Default::default(),
-                drain: Duration::from_secs(7),
+                report_addrs: args.node,
+                max_connections: args.cap,
+                warm_up: Duration::from_secs_f64(args.warm.max(0.0)),
+                statement_duration: Duration::from_millis(1),
+                no_work_after: Default::default(),
+                drain_grace: Duration::from_secs(7),
             };
             match Server::start(&env, setup).await {
-                Ok(_server) => boot::Signals::new().await.end().await,
+                Ok(_server) => boot::Signals::new().await.wait_for_stop().await,
                 Err(e) => boot::exit_cannot_start(&e.to_string()),
             }
         }
@@ -100,7 +100,7 @@
                 exit(2);
             }
         }
-        Tool::Figures(args) => kit::sim::figures(args.only.as_deref()),
+        Tool::Figures(args) => kit::sim::print_measurements(args.only.as_deref()),
         Tool::Ops(args) => ops(&args).await,
         Tool::Platform(args) => {
             let env = boot::system_env(None);
@@ -110,30 +110,30 @@
                     usage_error(format!("--server {text:?}: NAME,GROUP,ADDRESS"))
                 };
                 let addr = addr.parse().unwrap_or_else(|_| usage_error(format!("--server {text:?}: not an address")));
-                Known { name: name.into(), group: group.into(), addr }
+                PlatformServer { name: name.into(), group: group.into(), addr }
             };
             match Platform::start(&env, args.addr, args.server.iter().map(parse_server).collect()).await {
-                Ok(_platform) => boot::Signals::new().await.end().await,
+                Ok(_platform) => boot::Signals::new().await.wait_for_stop().await,
                 Err(e) => boot::exit_cannot_start(&e.to_string()),
             }
         }
         Tool::Fleet(args) => {
             let env = boot::system_env(None);
-            let steps = args.at.iter().map(|text| fleet::parse(text).unwrap_or_else(|e| usage_error(e))).collect();
+            let steps = args.at.iter().map(|text| fleet::parse_step(text).unwrap_or_else(|e| usage_error(e))).collect();
             let program_folder =
                 std::env::current_exe().ok().and_then(|p| p.parent().map(PathBuf::from)).unwrap_or_default();
             let folder =
                 args.folder.unwrap_or_else(|| std::env::temp_dir().join(format!("portspoke-{}", std::process::id())));
             println!("settings, data and logs are below {}", folder.display());
             let run = Run {
-                machines: args.machines,
-                cap: args.cap,
+                nodes: args.machines,
+                max_connections: args.cap,
                 sessions: args.sessions,
                 rate: args.rate,
-                span: Duration::from_secs_f64(args.seconds),
+                duration: Duration::from_secs_f64(args.seconds),
                 steps,
                 folder,
-                bins: program_folder,
+                program_folder,
             };
             match fleet::run(&env, &run).await {
                 Ok(report) => {
--- a/kit/src/platform.rs
+++ b/kit/src/platform.rs
@@ -14,7 +14,7 @@
 
 /// A server that the platform manages.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct PlatformServer {
     pub name: String,
     pub group: String,
     pub addr: SocketAddr,
@@ -23,11 +23,11 @@
 /// A running stand-in platform.
 pub struct Platform {
     env: Env,
-    servers: Vec<Known>,
+    servers: Vec<PlatformServer>,
     /// The promotion in force for each group.
     promotions: RefCell<BTreeMap<String, PromotionRequest>>,
     /// Every accepted promotion, with its time.
-    pub history: RefCell<Vec<(Duration, PromotionRequest)>>,
+    pub promotion_history: RefCell<Vec<(Duration, PromotionRequest)>>,
     supervisor: RefCell<Option<Supervisor>>,
 }
 
@@ -42,13 +42,13 @@
 
 impl Platform {
     /// Starts a platform that listens at `addr`. Fails if the address cannot be bound.
-    pub async fn start(env: &Env, addr: SocketAddr, servers: Vec<Known>) -> std::io::Result<Rc<Self>> {
+    pub async fn start(env: &Env, addr: SocketAddr, servers: Vec<PlatformServer>) -> std::io::Result<Rc<Self>> {
         let listener: http::ListenerSlot = Rc::new(RefCell::new(Some(env.listen(addr).await?)));
         let platform = Rc::new(Self {
             env: env.clone(),
             servers,
             promotions: RefCell::default(),
-            history: RefCell::default(),
+            promotion_history: RefCell::default(),
             supervisor: RefCell::default(),
         });
         let mut supervisor = Supervisor::new(env);
@@ -84,20 +84,20 @@
         }
         if promotions.get(&promotion.group) != Some(&promotion) {
             self.env.log(
-                Component::Kit,
+                Component::Tools,
                 format!(
                     "{} is promoted to primary of {} in epoch {}",
                     promotion.server, promotion.group, promotion.line
                 ),
             );
-            self.history.borrow_mut().push((self.env.now(), promotion.clone()));
+            self.promotion_history.borrow_mut().push((self.env.now(), promotion.clone()));
             promotions.insert(promotion.group.clone(), promotion);
         }
         HttpResponse::new(200, "{}")
     }
 
     /// Sends one server its role every 100 ms. Runs until the platform stops.
-    async fn send_role(self: Rc<Self>, server: Known) -> Result<(), std::convert::Infallible> {
+    async fn send_role(self: Rc<Self>, server: PlatformServer) -> Result<(), std::convert::Infallible> {
         loop {
             let promotion = self.promotions.borrow().get(&server.group).cloned();
             if let Some(promotion) = promotion {
@@ -110,7 +110,7 @@
                     from: promotion.from,
                 };
                 let timeout = Duration::from_millis(500);
-                let _ = Client::once(
+                let _ = Client::connect_and_call(
                     &self.env,
                     server.addr,
                     "POST",
