--- a/kit/src/server/follow.rs
+++ b/kit/src/server/follow.rs
@@ -22,7 +22,9 @@
     /// Copies the log of the primary for as long as this server is a replica. Runs until the server stops.
     pub(super) async fn follow(self: Rc<Self>) -> Result<(), Infallible> {
         loop {
-            let Some(addr) = self.primary_addr.get().filter(|_| !self.is_primary.get() && !self.stalled.get()) else {
+            let Some(addr) =
+                self.primary_addr.get().filter(|_| !self.is_primary.get() && !self.replication_suspended.get())
+            else {
                 self.env.sleep(Duration::from_millis(20)).await;
                 continue;
             };
@@ -33,7 +35,7 @@
                 self.env.sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            while self.primary_addr.get() == Some(addr) && !self.is_primary.get() && !self.stalled.get() {
+            while self.primary_addr.get() == Some(addr) && !self.is_primary.get() && !self.replication_suspended.get() {
                 let after = self.log.borrow().len() as u64;
                 let path = {
                     // The last entry is identified by its epoch and attempt id as well: a primary that lost a part of
@@ -47,7 +49,7 @@
                     self.state_changed.wait_until(|| (self.primary_addr.get() != Some(addr)).then_some(()));
                 let call = connection.call("GET", &path, &[], Bytes::new(), CALL_TIMEOUT);
                 let Either::Left((Ok(response), _)) = select(pin!(call), pin!(primary_changed)).await else { break };
-                if self.primary_addr.get() != Some(addr) || self.is_primary.get() || self.stalled.get() {
+                if self.primary_addr.get() != Some(addr) || self.is_primary.get() || self.replication_suspended.get() {
                     break;
                 }
                 match response.status {
--- a/kit/src/server/mod.rs
+++ b/kit/src/server/mod.rs
@@ -30,21 +30,21 @@
 pub struct Setup {
     pub name: String,
     /// The server's zone.
-    pub area: String,
+    pub zone: String,
     pub addr: SocketAddr,
     /// HTTP addresses of nodes that accept server reports.
-    pub nodes: Vec<SocketAddr>,
+    pub report_addrs: Vec<SocketAddr>,
     /// Maximum number of connections.
-    pub cap: usize,
+    pub max_connections: usize,
     /// How long the server takes to warm up after its start.
-    pub warm: Duration,
+    pub warm_up: Duration,
     /// How long each statement takes.
-    pub work: Duration,
+    pub statement_duration: Duration,
     /// For each evacuated zone and each server removed from its group: the time after which no work may arrive
     /// (maintained by a checker).
-    pub closed: Rc<RefCell<BTreeMap<String, Duration>>>,
+    pub no_work_after: Rc<RefCell<BTreeMap<String, Duration>>>,
     /// How long after a node acknowledged that the server drains work may still arrive.
-    pub drain: Duration,
+    pub drain_grace: Duration,
 }
 
 /// Counters of a server, for the checkers.
@@ -52,17 +52,17 @@
 pub struct Stats {
     pub statements: u64,
     /// Maximum number of connections open at once.
-    pub most_open: u64,
+    pub max_open: u64,
     /// Connections refused because the maximum was reached.
-    pub over: u64,
+    pub refused_over_max: u64,
     /// Statements that arrived while more were running than the server allows during warm-up.
-    pub flooded: u64,
+    pub over_warm_up_limit: u64,
     /// Statements that arrived later than allowed, at a drained server or in an evacuated zone.
-    pub late: u64,
+    pub too_late: u64,
     /// Statements of one client that ran in the session of another.
-    pub mixed: u64,
+    pub in_other_session: u64,
     /// Reads that failed because `sick` was set.
-    pub spoilt: u64,
+    pub failed_reads: u64,
     /// When the latest statement arrived.
     pub last_statement_at: Duration,
 }
@@ -86,13 +86,13 @@
     pub(crate) started_at: Duration,
     pub draining: Cell<bool>,
     /// Number of further statements that are executed but never answered.
-    pub mute: Cell<u64>,
+    pub unanswered_statements: Cell<u64>,
     /// Number of further statements that are answered only after their timeout.
-    pub late: Cell<u64>,
+    pub late_statements: Cell<u64>,
     /// Whether every read fails.
-    pub sick: Cell<bool>,
+    pub fail_reads: Cell<bool>,
     /// Whether replication from the primary is suspended.
-    pub stalled: Cell<bool>,
+    pub replication_suspended: Cell<bool>,
     pub(crate) open_connections: Cell<usize>,
     pub(crate) running_statements: Cell<usize>,
     pub stats: RefCell<Stats>,
@@ -120,10 +120,10 @@
             state_changed: Notify::default(),
             started_at: env.now(),
             draining: Cell::new(false),
-            mute: Cell::new(0),
-            late: Cell::new(0),
-            sick: Cell::new(false),
-            stalled: Cell::new(false),
+            unanswered_statements: Cell::new(0),
+            late_statements: Cell::new(0),
+            fail_reads: Cell::new(false),
+            replication_suspended: Cell::new(false),
             open_connections: Cell::new(0),
             running_statements: Cell::new(0),
             stats: RefCell::default(),
@@ -146,7 +146,7 @@
             http::serve(e.clone(), listener.clone(), endpoint.clone(), make_handler)
         });
         *server.supervisor.borrow_mut() = Some(supervisor);
-        env.log(Component::Kit, format!("server {} listens on {}", server.setup.name, server.setup.addr));
+        env.log(Component::Tools, format!("server {} listens on {}", server.setup.name, server.setup.addr));
         Ok(server)
     }
 
@@ -163,10 +163,10 @@
     /// How far the server is from being warm: 1 at the start, falling to 0 at the end of the warm-up.
     pub fn coldness(&self) -> f64 {
         let uptime = self.env.now().saturating_sub(self.started_at);
-        if self.setup.warm.is_zero() || uptime >= self.setup.warm {
+        if self.setup.warm_up.is_zero() || uptime >= self.setup.warm_up {
             return 0.0;
         }
-        1.0 - uptime.as_secs_f64() / self.setup.warm.as_secs_f64()
+        1.0 - uptime.as_secs_f64() / self.setup.warm_up.as_secs_f64()
     }
 
     /// All entries that are on disk.
--- a/kit/src/server/report.rs
+++ b/kit/src/server/report.rs
@@ -11,7 +11,7 @@
     /// Sends a report to one node every 500 ms; after a failure, moves on to the next node. Runs until the server
     /// stops.
     pub(super) async fn send_reports(self: Rc<Self>) -> Result<(), Infallible> {
-        let nodes = self.setup.nodes.clone();
+        let nodes = self.setup.report_addrs.clone();
         let mut node_index = self.env.rand_below(nodes.len() as u64) as usize;
         loop {
             if nodes.is_empty() {
@@ -22,7 +22,7 @@
             let draining = self.draining.get();
             let report = ServerReport {
                 server: self.setup.name.clone(),
-                area: self.setup.area.clone(),
+                area: self.setup.zone.clone(),
                 addr: self.setup.addr.to_string(),
                 leads: self.is_primary.get(),
                 draining,
@@ -36,7 +36,8 @@
             };
             let timeout = Duration::from_millis(700);
             let body = report.serialize_json().into();
-            let result = Client::once(&self.env, nodes[node_index], "POST", "/report", &[], body, timeout).await;
+            let result =
+                Client::connect_and_call(&self.env, nodes[node_index], "POST", "/report", &[], body, timeout).await;
             match result {
                 Ok(response) if response.status == 200 => {
                     if draining && self.drain_reported_at.get().is_none() {
--- a/kit/src/server/serve.rs
+++ b/kit/src/server/serve.rs
@@ -166,8 +166,8 @@
         }
         if !session.holds_connection.get() {
             let open = self.open_connections.get() + 1;
-            if open > self.setup.cap {
-                self.stats.borrow_mut().over += 1;
+            if open > self.setup.max_connections {
+                self.stats.borrow_mut().refused_over_max += 1;
                 let mut response = not_executed(429, "no connection left");
                 response.close = true;
                 return response;
@@ -175,7 +175,7 @@
             session.holds_connection.set(true);
             self.open_connections.set(open);
             let mut stats = self.stats.borrow_mut();
-            stats.most_open = stats.most_open.max(open as u64);
+            stats.max_open = stats.max_open.max(open as u64);
         }
         let response = if path == backend::POSITION_PATH {
             self.on_position(&request.path).await
@@ -204,28 +204,29 @@
         path: &str,
         request: &HttpRequest,
     ) -> Option<HttpResponse> {
-        let max_running = (self.setup.cap as f64 * (1.0 - self.coldness())).ceil() as usize + MIN_RUNNING_STATEMENTS;
+        let max_running =
+            (self.setup.max_connections as f64 * (1.0 - self.coldness())).ceil() as usize + MIN_RUNNING_STATEMENTS;
         {
             let mut stats = self.stats.borrow_mut();
             stats.statements += 1;
             stats.last_statement_at = self.env.now();
             if self.running_statements.get() > max_running {
-                stats.flooded += 1;
+                stats.over_warm_up_limit += 1;
             }
             if self.is_past_work_deadline() && !matches!(path, "/rollback" | backend::RESET_PATH) {
-                stats.late += 1;
+                stats.too_late += 1;
             }
         }
         let running_guard = RunningStatement::new(self);
-        self.env.sleep(self.setup.work).await;
+        self.env.sleep(self.setup.statement_duration).await;
         let response = self.execute(session, path, request).await;
         drop(running_guard);
-        if self.late.get() > 0 && path != backend::RESET_PATH {
-            self.late.set(self.late.get() - 1);
+        if self.late_statements.get() > 0 && path != backend::RESET_PATH {
+            self.late_statements.set(self.late_statements.get() - 1);
             self.env.sleep(LATE_RESPONSE_DELAY).await;
         }
-        if self.mute.get() > 0 && path != backend::RESET_PATH {
-            self.mute.set(self.mute.get() - 1);
+        if self.unanswered_statements.get() > 0 && path != backend::RESET_PATH {
+            self.unanswered_statements.set(self.unanswered_statements.get() - 1);
             return None;
         }
         Some(response)
@@ -235,11 +236,11 @@
     /// drained.
     fn is_past_work_deadline(&self) -> bool {
         let now = self.env.now();
-        let closed = self.setup.closed.borrow();
+        let closed = self.setup.no_work_after.borrow();
         let is_closed =
-            [&self.setup.area, &self.setup.name].iter().any(|name| closed.get(*name).is_some_and(|t| now > *t));
+            [&self.setup.zone, &self.setup.name].iter().any(|name| closed.get(*name).is_some_and(|t| now > *t));
         let is_drained =
-            self.draining.get() && self.drain_reported_at.get().is_some_and(|t| now > t + self.setup.drain);
+            self.draining.get() && self.drain_reported_at.get().is_some_and(|t| now > t + self.setup.drain_grace);
         is_closed || is_drained
     }
 
@@ -279,8 +280,8 @@
         let Ok(statement) = base::strict::read::<Statement>(&request.body) else {
             return not_executed(400, "cannot read");
         };
-        if self.sick.get() && path == "/read" {
-            self.stats.borrow_mut().spoilt += 1;
+        if self.fail_reads.get() && path == "/read" {
+            self.stats.borrow_mut().failed_reads += 1;
             return json_response(500, "{\"why\":\"sick\"}".into());
         }
         match (path, statement.op.as_str()) {
@@ -302,7 +303,7 @@
             }
             ("/read", "show") => {
                 if !session.client.borrow().is_empty() && *session.client.borrow() != statement.who {
-                    self.stats.borrow_mut().mixed += 1;
+                    self.stats.borrow_mut().in_other_session += 1;
                 }
                 let vals = session.values.borrow().get(&statement.key).cloned().into_iter().collect();
                 json_response(200, Rows { key: statement.key, vals }.serialize_json())
@@ -405,10 +406,10 @@
             self.draining.set(draining);
         }
         if let Some(mute) = fault.mute {
-            self.mute.set(mute);
+            self.unanswered_statements.set(mute);
         }
         if let Some(stalled) = fault.stalled {
-            self.stalled.set(stalled);
+            self.replication_suspended.set(stalled);
         }
         json_response(200, "{}".into())
     }
@@ -417,11 +418,11 @@
         let stats = self.stats.borrow();
         let response = StatsResponse {
             statements: stats.statements,
-            most_open: stats.most_open,
-            over: stats.over,
-            flooded: stats.flooded,
-            mixed: stats.mixed,
-            late: stats.late,
+            most_open: stats.max_open,
+            over: stats.refused_over_max,
+            flooded: stats.over_warm_up_limit,
+            mixed: stats.in_other_session,
+            late: stats.too_late,
         };
         json_response(200, response.serialize_json())
     }
--- a/kit/src/sim/core.rs
+++ b/kit/src/sim/core.rs
@@ -24,12 +24,12 @@
 
 /// One log line of a simulated process.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct LogLine {
     /// Simulated time at which it was written.
     pub at: Duration,
     /// Name of the process; `-` for the simulation itself.
-    pub who: String,
-    pub part: Component,
+    pub process: String,
+    pub component: Component,
     pub text: String,
 }
 
@@ -128,7 +128,7 @@
     wake_receiver: mpsc::Receiver<u64>,
     pub(super) hosts: RefCell<Vec<Host>>,
     pub(super) net: Network,
-    pub(super) log_lines: RefCell<Vec<Line>>,
+    pub(super) log_lines: RefCell<Vec<LogLine>>,
     /// Hash over every poll (task, host, time). Two runs with the same seed must give the same value.
     trace: Cell<u64>,
     polls: Cell<u64>,
@@ -182,7 +182,7 @@
     }
 
     /// Adds a host that is up, with an empty disk, and returns its index.
-    pub fn host(self: &Rc<Self>, name: &str, zone: &str) -> usize {
+    pub fn add_host(self: &Rc<Self>, name: &str, zone: &str) -> usize {
         let mut hosts = self.hosts.borrow_mut();
         hosts.push(Host {
             name: name.into(),
@@ -276,7 +276,7 @@
     }
 
     /// Runs until the simulated time `until`, or until `stop` returns true while no task is ready.
-    pub fn run(self: &Rc<Self>, until: Duration, stop: &dyn Fn() -> bool) {
+    pub fn run_until(self: &Rc<Self>, until: Duration, stop: &dyn Fn() -> bool) {
         loop {
             self.enqueue_woken_tasks();
             let next = {
@@ -310,8 +310,8 @@
     }
 
     /// Runs for a duration of simulated time.
-    pub fn pass(self: &Rc<Self>, duration: Duration) {
-        self.run(self.now() + duration, &|| false);
+    pub fn run_for(self: &Rc<Self>, duration: Duration) {
+        self.run_until(self.now() + duration, &|| false);
     }
 
     /// Ends a process and drops its tasks. Its connections are reset, unless `silent`: then the host has lost power and
@@ -343,7 +343,7 @@
     }
 
     /// Marks a host that is down as up, and returns the environment for its new run.
-    pub fn boot(self: &Rc<Self>, host: usize) -> Env {
+    pub fn bring_up(self: &Rc<Self>, host: usize) -> Env {
         self.hosts.borrow_mut()[host].up = true;
         self.net.host_up(self, host);
         self.log_for_host(host, "is up");
@@ -387,21 +387,26 @@
     /// Adds a log line of the simulation under the name of a host.
     pub(super) fn log_for_host(&self, host: usize, text: &str) {
         let who = self.hosts.borrow()[host].name.clone();
-        self.log_lines.borrow_mut().push(Line { at: self.now(), who, part: Component::Kit, text: text.into() });
+        self.log_lines.borrow_mut().push(LogLine {
+            at: self.now(),
+            process: who,
+            component: Component::Tools,
+            text: text.into(),
+        });
     }
 
     /// Adds a log line of the simulation that concerns no single host.
     pub fn log_event(&self, text: &str) {
-        self.log_lines.borrow_mut().push(Line {
+        self.log_lines.borrow_mut().push(LogLine {
             at: self.now(),
-            who: "-".into(),
-            part: Component::Kit,
+            process: "-".into(),
+            component: Component::Tools,
             text: text.into(),
         });
     }
 
     /// All log lines so far.
-    pub fn log(&self) -> Vec<Line> {
+    pub fn log(&self) -> Vec<LogLine> {
         self.log_lines.borrow().clone()
     }
 }
--- a/kit/src/sim/deployment/faults.rs
+++ b/kit/src/sim/deployment/faults.rs
@@ -4,9 +4,9 @@
 
 use base::settings::PolicySettings;
 
-use super::{ProcessKind, Town};
+use super::{Deployment, ProcessKind};
 
-impl Town {
+impl Deployment {
     /// Sets whether a process runs with a `blueprint` bound twenty times as long as the others', from its next start on.
     pub fn set_long_bounds(&self, name: &str, long: bool) {
         match long {
@@ -36,7 +36,7 @@
     }
 
     /// Whether a process has completed an orderly shutdown, at any time of the run.
-    pub fn left(&self, name: &str) -> bool {
+    pub fn has_shut_down(&self, name: &str) -> bool {
         self.shutdowns.borrow().iter().any(|shutdown| shutdown.0 == name)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Whether a process is up.
-    pub fn up(&self, name: &str) -> bool {
+    pub fn is_up(&self, name: &str) -> bool {
         self.sim.is_up(self.host(name))
     }
 
@@ -80,13 +80,13 @@
     /// command's answer.
     pub fn rescue(&self, name: &str, argument: &str) -> Result<String, String> {
         let host = self.host(name);
-        let env = self.sim.boot(host);
+        let env = self.sim.bring_up(host);
         let answer = Rc::new(RefCell::new(None));
         let (task_answer, argument) = (answer.clone(), argument.to_string());
         let boot_id = self.sim.hosts.borrow()[host].boot_id;
         let task = async move { *task_answer.borrow_mut() = Some(hub::rescue::rescue(&env, &argument).await) };
         self.sim.spawn(host, boot_id, Box::pin(task));
-        self.sim.pass(Duration::from_secs(1));
+        self.sim.run_for(Duration::from_secs(1));
         self.kill(name);
         answer.take().unwrap_or(Err("no answer".into()))
     }
@@ -139,7 +139,7 @@
 
     /// Ends all faults: heals all paths, resumes frozen processes, resets clocks and bounds, and starts what is down. Lost
     /// data stays lost.
-    pub fn mend(&self) {
+    pub fn end_all_faults(&self) {
         self.sim.net.heal_all_paths(&self.sim);
         for name in self.process_names() {
             self.thaw(&name);
@@ -152,11 +152,11 @@
             self.start(&name);
         }
         for server in self.servers.borrow().values() {
-            server.stalled.set(false);
-            server.mute.set(0);
-            server.late.set(0);
+            server.replication_suspended.set(false);
+            server.unanswered_statements.set(0);
+            server.late_statements.set(0);
             server.draining.set(false);
-            server.sick.set(false);
+            server.fail_reads.set(false);
         }
         self.sim.log_event("all faults are repaired");
     }
--- a/kit/src/sim/deployment/guards.rs
+++ b/kit/src/sim/deployment/guards.rs
@@ -45,36 +45,36 @@
     pub fn without(name: &str) -> Option<Self> {
         let mut disabled = Self::default();
         let flag = match name {
-            "wait" => &mut disabled.hub.no_wait,
-            "read-all-but-one" => &mut disabled.hub.read_one,
-            "blank-no-vote" => &mut disabled.hub.blank_votes,
-            "lease" => &mut disabled.hub.no_lease,
-            "no-resend" => &mut disabled.spoke.resend,
+            "wait" => &mut disabled.hub.skip_lease_wait,
+            "read-all-but-one" => &mut disabled.hub.elect_from_one_log,
+            "blank-no-vote" => &mut disabled.hub.empty_disk_votes,
+            "lease" => &mut disabled.hub.no_leader_lease,
+            "no-resend" => &mut disabled.spoke.resend_writes,
             "fence" => {
                 // The check of the confirmation catches what the fence lets through. Both are disabled, so that the absence of
                 // the fence shows.
-                disabled.spoke.no_confirm = true;
-                &mut disabled.spoke.no_fence
+                disabled.spoke.no_confirmation = true;
+                &mut disabled.spoke.no_lease_check
             }
-            "second" => &mut disabled.spoke.no_second,
-            "fresh" => &mut disabled.spoke.no_fresh,
-            "confirm" => &mut disabled.spoke.no_confirm,
-            "veto" => &mut disabled.spoke.no_veto,
-            "empty" => &mut disabled.spoke.no_empty,
-            "wipe" => &mut disabled.spoke.no_wipe,
+            "second" => &mut disabled.spoke.no_second_copy,
+            "fresh" => &mut disabled.spoke.no_freshness_check,
+            "confirm" => &mut disabled.spoke.no_confirmation,
+            "veto" => &mut disabled.spoke.no_exclusion,
+            "empty" => &mut disabled.spoke.no_evacuation,
+            "wipe" => &mut disabled.spoke.no_session_reset,
             "rollback" => &mut disabled.spoke.no_rollback,
-            "linger" => &mut disabled.spoke.no_linger,
-            "compare" => &mut disabled.hub.no_compare,
-            "check" => &mut disabled.hub.no_check,
-            "ledger" => &mut disabled.hub.no_ledger,
-            "ramp" => &mut disabled.hub.no_ramp,
-            "roll" => &mut disabled.hub.no_roll,
-            "back" => &mut disabled.spoke.grow,
-            "group" => &mut disabled.spoke.no_group,
-            "sends" => &mut disabled.spoke.no_sends,
-            "whole-bodies" => &mut disabled.spoke.cut_bodies,
-            "rule" => &mut disabled.hub.any_rule,
-            "recall" => &mut disabled.hub.no_recall,
+            "linger" => &mut disabled.spoke.no_graceful_shutdown,
+            "compare" => &mut disabled.hub.no_version_check,
+            "check" => &mut disabled.hub.no_configuration_check,
+            "ledger" => &mut disabled.hub.ignore_outstanding_shares,
+            "ramp" => &mut disabled.hub.no_warm_up,
+            "roll" => &mut disabled.hub.count_any_log,
+            "back" => &mut disabled.spoke.keep_highest_position,
+            "group" => &mut disabled.spoke.no_group_check,
+            "sends" => &mut disabled.spoke.no_attempt_ids,
+            "whole-bodies" => &mut disabled.spoke.accept_truncated_bodies,
+            "rule" => &mut disabled.hub.any_bounds,
+            "recall" => &mut disabled.hub.ignore_stored_state,
             "token" => &mut disabled.spoke.no_token,
             _ => return None,
         };
--- a/kit/src/sim/deployment/launch.rs
+++ b/kit/src/sim/deployment/launch.rs
@@ -7,9 +7,9 @@
     settings::{self, NodeConfig},
 };
 
-use super::{ProcessKind, Town};
+use super::{Deployment, ProcessKind};
 use crate::{
-    platform::{Known, Platform},
+    platform::{Platform, PlatformServer},
     server::Server,
 };
 
@@ -29,12 +29,12 @@
     }
 }
 
-impl Town {
+impl Deployment {
     /// Starts a process that is down, with the files on its disk.
     pub fn start(&self, name: &str) {
         let host = self.host(name);
         if !self.sim.is_up(host) {
-            self.sim.boot(host);
+            self.sim.bring_up(host);
             self.launch(name);
         }
     }
@@ -49,7 +49,7 @@
             (process.host, process.kind.clone(), process.signals.clone())
         };
         let env = self.sim.env(host);
-        let (disabled, layout, shutdowns) = (self.tricks, self.layout.clone(), self.shutdowns.clone());
+        let (disabled, layout, shutdowns) = (self.disabled_guards, self.layout.clone(), self.shutdowns.clone());
         let sim = self.sim.clone();
         let bound_factor = if self.with_long_bounds.borrow().contains(name) { 20 } else { 1 };
         let boot_id = self.sim.hosts.borrow()[host].boot_id;
@@ -57,8 +57,9 @@
             ProcessKind::ClientHost => {}
             ProcessKind::Platform => {
                 let servers = layout.servers.iter();
-                let known_servers =
-                    servers.map(|s| Known { name: s.name.clone(), group: s.group.clone(), addr: s.addr }).collect();
+                let known_servers = servers
+                    .map(|s| PlatformServer { name: s.name.clone(), group: s.group.clone(), addr: s.addr })
+                    .collect();
                 let (platform, process_env) = (self.platform.clone(), env.clone());
                 self.sim.spawn(
                     host,
@@ -121,11 +122,11 @@
                                 break;
                             }
                             if let Some(policy) = signals.policy.borrow_mut().take() {
-                                node.policy(&policy);
+                                node.apply_policy(&policy);
                             }
                             signals.changed.changed_since(generation).await;
                         }
-                        node.leave().await;
+                        node.shut_down().await;
                         shutdowns.borrow_mut().push((machine.name.clone(), sim.now()));
                         process_env.abort_process("has shut down as requested");
                         std::future::pending::<()>().await;
--- a/kit/src/sim/deployment/mod.rs
+++ b/kit/src/sim/deployment/mod.rs
@@ -21,31 +21,37 @@
 
 use super::core::Sim;
 use crate::{
-    fleet::{Layout, Machine},
-    load::{History, Words},
+    fleet::{Layout, NodeProcess},
+    load::{History, OperatorHistory},
     platform::Platform,
     server::{Server, Setup},
 };
 
 /// Size and timing of a simulated deployment, and the guards it runs without.
 #[derive(Clone, Copy, Debug)]
-pub struct Build {
+pub struct DeploymentOptions {
     /// Number of machines; each runs a node.
     pub machines: usize,
     /// Maximum number of connections of a server.
-    pub cap: usize,
+    pub max_server_connections: usize,
     /// How long a server takes to warm up.
-    pub warm: Duration,
+    pub warm_up_time: Duration,
     /// How long a statement takes.
-    pub work: Duration,
+    pub statement_time: Duration,
     /// Guards that the processes run without.
-    pub tricks: DisabledGuards,
+    pub disabled_guards: DisabledGuards,
 }
 
-impl Default for Build {
+impl Default for DeploymentOptions {
     fn default() -> Self {
         let (warm, work) = (Duration::from_secs(1), Duration::from_millis(1));
-        Self { machines: 6, cap: 40, warm, work, tricks: DisabledGuards::default() }
+        Self {
+            machines: 6,
+            max_server_connections: 40,
+            warm_up_time: warm,
+            statement_time: work,
+            disabled_guards: DisabledGuards::default(),
+        }
     }
 }
 
@@ -60,8 +66,8 @@
 /// What a process runs, with its configuration.
 #[derive(Clone)]
 enum ProcessKind {
-    ControlNode(Machine),
-    Node(Machine),
+    ControlNode(NodeProcess),
+    Node(NodeProcess),
     Server(Setup),
     Platform,
     /// Runs clients and operators; its name is `desk`.
@@ -76,15 +82,15 @@
 }
 
 /// A simulated deployment that uses the product's own HTTP protocols.
-pub struct Town {
+pub struct Deployment {
     pub sim: Rc<Sim>,
     pub layout: Layout,
     /// What clients observed.
     pub history: Rc<History>,
     /// What operators did and observed.
-    pub words: Rc<Words>,
+    pub operator_history: Rc<OperatorHistory>,
     /// Guards that the processes run without.
-    pub tricks: DisabledGuards,
+    pub disabled_guards: DisabledGuards,
     pub seed: u64,
     processes: RefCell<BTreeMap<String, Process>>,
     /// The running database servers by name.
@@ -114,18 +120,24 @@
     }
 }
 
-impl Town {
+impl Deployment {
     /// Creates a deployment and starts all its processes.
-    pub fn new(seed: u64, build: Build) -> Rc<Self> {
-        let Build { machines, cap, warm, work, tricks } = build;
+    pub fn new(seed: u64, build: DeploymentOptions) -> Rc<Self> {
+        let DeploymentOptions {
+            machines,
+            max_server_connections: cap,
+            warm_up_time: warm,
+            statement_time: work,
+            disabled_guards,
+        } = build;
         let sim = Sim::new(seed);
         let layout = Layout::new(machines, cap, addrs());
         let deployment = Rc::new(Self {
             sim,
             layout: layout.clone(),
             history: Rc::default(),
-            words: Rc::default(),
-            tricks,
+            operator_history: Rc::default(),
+            disabled_guards,
             seed,
             processes: RefCell::default(),
             servers: Rc::default(),
@@ -138,29 +150,29 @@
             shutdowns: Rc::default(),
         });
         let add = |name: &str, zone: &str, kind: ProcessKind| {
-            let host = deployment.sim.host(name, zone);
+            let host = deployment.sim.add_host(name, zone);
             deployment.processes.borrow_mut().insert(name.into(), Process { host, kind, signals: Rc::default() });
         };
         add("platform", "platform", ProcessKind::Platform);
         for server in &layout.servers {
             let setup = Setup {
                 name: server.name.clone(),
-                area: server.area.clone(),
+                zone: server.zone.clone(),
                 addr: server.addr,
-                nodes: layout.reporters(&server.area),
-                cap,
-                warm,
-                work,
-                closed: deployment.words.closed.clone(),
-                drain: Duration::from_secs(7),
+                report_addrs: layout.report_addresses(&server.zone),
+                max_connections: cap,
+                warm_up: warm,
+                statement_duration: work,
+                no_work_after: deployment.operator_history.no_work_after.clone(),
+                drain_grace: Duration::from_secs(7),
             };
-            add(&server.name, &server.area, ProcessKind::Server(setup));
+            add(&server.name, &server.zone, ProcessKind::Server(setup));
         }
-        for machine in &layout.hubs {
-            add(&machine.name, &machine.area, ProcessKind::ControlNode(machine.clone()));
+        for machine in &layout.control_nodes {
+            add(&machine.name, &machine.zone, ProcessKind::ControlNode(machine.clone()));
         }
-        for machine in &layout.spokes {
-            add(&machine.name, &machine.area, ProcessKind::Node(machine.clone()));
+        for machine in &layout.nodes {
+            add(&machine.name, &machine.zone, ProcessKind::Node(machine.clone()));
         }
         add("desk", "desk", ProcessKind::ClientHost);
         let names: Vec<String> = deployment.processes.borrow().keys().cloned().collect();
--- a/kit/src/sim/deployment/verification.rs
+++ b/kit/src/sim/deployment/verification.rs
@@ -2,41 +2,43 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::Town;
+use super::Deployment;
 use crate::{
-    check, check_words,
-    load::{DOORS, Report},
+    check, check_operators,
+    load::{DATABASES, Report},
     server::Entry,
 };
 
-impl Town {
+impl Deployment {
     /// The control node that logged last that it became the leader. Unlike
     /// `leading_control_node`, this sends no requests.
     pub fn control_leader_in_log(&self) -> Option<String> {
         let log_lines = self.sim.log_lines.borrow();
-        log_lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.who.clone())
+        log_lines.iter().rev().find(|l| l.text.starts_with("leading in term")).map(|l| l.process.clone())
     }
 
     /// The primary of a group, as it was last reported to the platform.
-    pub fn leader(&self, group: &str) -> Option<String> {
+    pub fn primary(&self, group: &str) -> Option<String> {
         let platform = self.platform.borrow();
-        let history = platform.as_ref()?.history.borrow();
+        let history = platform.as_ref()?.promotion_history.borrow();
         history.iter().rev().find(|(_, report)| report.group == group).map(|(_, report)| report.server.clone())
     }
 
     /// The leading control node, as the control nodes report it over HTTP; `None` if none reports so within 5 s.
-    pub fn chief(&self) -> Option<String> {
-        let (env, layout) = (self.desk(), self.layout.clone());
-        self.at_desk(Duration::from_secs(5), async move { crate::fleet::chief(&env, &layout).await })?
+    pub fn leading_control_node(&self) -> Option<String> {
+        let (env, layout) = (self.client_env(), self.layout.clone());
+        self.run_on_client_host(Duration::from_secs(5), async move {
+            crate::fleet::leading_control_node(&env, &layout).await
+        })?
     }
 
     /// All violations of the guarantees that clients, servers and operators observed, as readable text.
     pub fn findings(&self) -> Vec<String> {
         let mut findings = Vec::new();
         let mut logs: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
-        for (index, (database, _, _)) in DOORS.iter().enumerate() {
+        for (index, (database, _, _)) in DATABASES.iter().enumerate() {
             let (group, _) = &self.layout.groups()[index];
-            let Some(name) = self.leader(group) else {
+            let Some(name) = self.primary(group) else {
                 findings.push(format!("{group} never had a primary"));
                 continue;
             };
@@ -46,21 +48,26 @@
         }
         for (name, server) in self.servers.borrow().iter() {
             let stats = server.stats.borrow();
-            if stats.mixed > 0 {
-                findings.push(format!("{name}: {} statements ran in another client's session", stats.mixed));
+            if stats.in_other_session > 0 {
+                findings.push(format!("{name}: {} statements ran in another client's session", stats.in_other_session));
             }
-            if stats.late > 0 {
+            if stats.too_late > 0 {
                 findings.push(format!(
                     "{name}: {} statements arrived after it was drained or its zone evacuated",
-                    stats.late
+                    stats.too_late
                 ));
             }
-            if stats.flooded > 0 {
-                findings.push(format!("{name}: {} statements exceeded what it can take while cold", stats.flooded));
+            if stats.over_warm_up_limit > 0 {
+                findings.push(format!(
+                    "{name}: {} statements exceeded what it can take while cold",
+                    stats.over_warm_up_limit
+                ));
             }
-            if stats.most_open > server.setup.cap as u64 {
-                findings
-                    .push(format!("{name}: {} connections exceed its limit of {}", stats.most_open, server.setup.cap));
+            if stats.max_open > server.setup.max_connections as u64 {
+                findings.push(format!(
+                    "{name}: {} connections exceed its limit of {}",
+                    stats.max_open, server.setup.max_connections
+                ));
             }
         }
         for (name, start_time, requested_at) in self.shutdown_requests.borrow().iter() {
@@ -72,15 +79,16 @@
                     && shutdown.1 < *requested_at + Duration::from_secs(10)
             });
             let Some((_, ended_at)) = shutdown else { continue };
-            for event in self.history.events.borrow().iter().filter(|event| event.node == *name && event.code == 0) {
+            for event in self.history.requests.borrow().iter().filter(|event| event.node == *name && event.status == 0)
+            {
                 // The connection broke within less than a round trip: the node had closed it before the request could
                 // arrive.
-                let crossed = event.done - event.start < Duration::from_millis(5);
+                let crossed = event.done - event.sent < Duration::from_millis(5);
                 // Requests to an earlier run of the process were lost with that run. A host that is up again resets the
                 // connections of its earlier run only after some time, hence the second.
-                if event.start >= *start_time + Duration::from_secs(1)
+                if event.sent >= *start_time + Duration::from_secs(1)
                     && event.done > *requested_at
-                    && event.start < *ended_at
+                    && event.sent < *ended_at
                     && event.note == "no answer"
                     && !crossed
                 {
@@ -91,15 +99,21 @@
                 }
             }
         }
-        let zones = self.layout.spokes.iter().map(|m| (m.name.clone(), m.area.clone())).collect();
+        let zones = self.layout.nodes.iter().map(|m| (m.name.clone(), m.zone.clone())).collect();
         let (late, evacuation) = (Duration::from_secs(3), Duration::from_secs(5));
-        findings.extend(check_words::words(&self.words, &self.history.events.borrow(), &zones, late, evacuation));
-        findings.extend(check::history(&self.history.events.borrow(), &logs, Duration::from_millis(1500)));
+        findings.extend(check_operators::check_operator_history(
+            &self.operator_history,
+            &self.history.requests.borrow(),
+            &zones,
+            late,
+            evacuation,
+        ));
+        findings.extend(check::check_history(&self.history.requests.borrow(), &logs, Duration::from_millis(1500)));
         findings
     }
 
     /// The report over all load so far, with the findings.
     pub fn report(&self) -> Report {
-        Report::new(&self.history.events.borrow(), self.findings())
+        Report::new(&self.history.requests.borrow(), self.findings())
     }
 }
--- a/kit/src/sim/fault_injection.rs
+++ b/kit/src/sim/fault_injection.rs
@@ -4,12 +4,12 @@
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Sim, Town, timeline};
+use super::{Deployment, Sim, timeline};
 use crate::load::{self, Node};
 
 /// Every kind of fault that a run may draw, with the share of requests in percent that must be served within a second
 /// during a run of 30 seconds with three faults of that kind.
-pub const KINDS: [(&str, f64); 45] = [
+pub const FAULT_KINDS: [(&str, f64); 45] = [
     // A server responds after the timeout.
     ("late-answer", 96.0),
     // A server joins its group, or leaves it.
@@ -83,12 +83,12 @@
 }
 
 /// One of the names at random; panics if there are none.
-fn pick_name<'a>(deployment: &Town, names: &'a [String]) -> &'a str {
+fn pick_name<'a>(deployment: &Deployment, names: &'a [String]) -> &'a str {
     &names[deployment.fault_rand_below(names.len() as u64) as usize]
 }
 
 /// The only server of a group that may lose its log in this run.
-fn log_loss_server(deployment: &Town, group: &str) -> String {
+fn log_loss_server(deployment: &Deployment, group: &str) -> String {
     let members: Vec<&str> =
         deployment.layout.servers.iter().filter(|s| s.group == group).map(|s| s.name.as_str()).collect();
     members[deployment.seed as usize % 3].into()
@@ -99,7 +99,7 @@
 }
 
 /// Runs an action after a delay in simulated time, unless the deployment has been dropped by then.
-fn schedule(deployment: &Rc<Town>, delay: Duration, action: impl FnOnce(&Rc<Town>) + 'static) {
+fn schedule(deployment: &Rc<Deployment>, delay: Duration, action: impl FnOnce(&Rc<Deployment>) + 'static) {
     let weak = Rc::downgrade(deployment);
     deployment.sim.schedule_action(delay, move |_: &Rc<Sim>| {
         if let Some(deployment) = weak.upgrade() {
@@ -109,13 +109,13 @@
 }
 
 /// Carries out a timeline action on a process after a delay.
-fn schedule_action(deployment: &Rc<Town>, delay: Duration, name: &str, action: &'static str) {
+fn schedule_action(deployment: &Rc<Deployment>, delay: Duration, name: &str, action: &'static str) {
     let name = name.to_string();
-    schedule(deployment, delay, move |deployment| timeline::act(deployment, &name, action));
+    schedule(deployment, delay, move |deployment| timeline::apply_action(deployment, &name, action));
 }
 
 /// Heals the paths between two processes or zones, in both directions, after a delay.
-fn schedule_heal(deployment: &Rc<Town>, delay: Duration, one: &str, other: &str) {
+fn schedule_heal(deployment: &Rc<Deployment>, delay: Duration, one: &str, other: &str) {
     let (one, other) = (one.to_string(), other.to_string());
     schedule(deployment, delay, move |deployment| {
         deployment.heal_path(&one, &other);
@@ -124,27 +124,27 @@
 }
 
 /// Injects one fault of a kind (a name of `FAULT_KINDS`) and schedules its end. An unknown kind injects nothing.
-pub fn inject_fault(deployment: &Rc<Town>, kind: &str) -> InjectedFault {
+pub fn inject_fault(deployment: &Rc<Deployment>, kind: &str) -> InjectedFault {
     let names =
-        |machines: &[crate::fleet::Machine]| -> Vec<String> { machines.iter().map(|m| m.name.clone()).collect() };
-    let (control_nodes, nodes) = (names(&deployment.layout.hubs), names(&deployment.layout.spokes));
+        |machines: &[crate::fleet::NodeProcess]| -> Vec<String> { machines.iter().map(|m| m.name.clone()).collect() };
+    let (control_nodes, nodes) = (names(&deployment.layout.control_nodes), names(&deployment.layout.nodes));
     let include_spares = deployment.fault_rand_below(4) == 0;
     let servers = deployment.layout.servers.iter().filter(|s| include_spares || !s.spare);
     let servers: Vec<String> = servers.map(|s| s.name.clone()).collect();
     let all = [control_nodes.clone(), nodes.clone(), servers.clone()].concat();
-    let zones = deployment.layout.areas.clone();
+    let zones = deployment.layout.zones.clone();
     let group = format!("g{}", 1 + deployment.fault_rand_below(3));
     let duration = ms(200 + deployment.fault_rand_below(6000));
     let node = |name: &str| {
-        let machine = deployment.layout.spokes.iter().find(|m| m.name == name).expect("a node of the deployment");
-        Node { name: machine.name.clone(), area: machine.area.clone(), addr: machine.http }
+        let machine = deployment.layout.nodes.iter().find(|m| m.name == name).expect("a node of the deployment");
+        Node { name: machine.name.clone(), zone: machine.zone.clone(), addr: machine.http }
     };
     let fault = |details: &str, duration: Duration| InjectedFault { details: details.into(), duration };
     let take_down = |name: &str, action: &str, duration: Duration| {
         if name.is_empty() {
             return fault("nobody", Duration::ZERO);
         }
-        timeline::act(deployment, name, action);
+        timeline::apply_action(deployment, name, action);
         schedule_action(deployment, duration, name, "start");
         fault(name, duration)
     };
@@ -152,8 +152,8 @@
         "kill-server" => take_down(pick_name(deployment, &servers), "kill", duration),
         "kill-hub" => take_down(pick_name(deployment, &control_nodes), "kill", duration),
         "kill-spoke" => take_down(pick_name(deployment, &nodes), "kill", duration),
-        "kill-leader" => take_down(&deployment.leader(&group).unwrap_or_default(), "kill", duration),
-        "dark-leader" => take_down(&deployment.leader(&group).unwrap_or_default(), "dark", duration),
+        "kill-leader" => take_down(&deployment.primary(&group).unwrap_or_default(), "kill", duration),
+        "dark-leader" => take_down(&deployment.primary(&group).unwrap_or_default(), "dark", duration),
         "dark-chief" => {
             let name = deployment.control_leader_in_log().unwrap_or_else(|| control_nodes[0].clone());
             take_down(&name, "dark", duration)
@@ -169,7 +169,7 @@
             take_down(&log_loss_server(deployment, &group), "short", ms(20 + deployment.fault_rand_below(1500)))
         }
         "replace-then-dark" => {
-            let (name, primary) = (log_loss_server(deployment, &group), deployment.leader(&group).unwrap_or_default());
+            let (name, primary) = (log_loss_server(deployment, &group), deployment.primary(&group).unwrap_or_default());
             let wiped = take_down(&name, "wipe", ms(20 + deployment.fault_rand_below(1500)));
             if primary == name || primary.is_empty() {
                 return wiped;
@@ -210,7 +210,7 @@
         }
         "restart-hub" | "restart-spoke" => {
             let name = pick_name(deployment, if kind == "restart-hub" { &control_nodes } else { &nodes });
-            if deployment.up(name) {
+            if deployment.is_up(name) {
                 deployment.request_shutdown(name);
             }
             schedule_action(deployment, ms(6000), name, "start");
@@ -218,7 +218,7 @@
         }
         "freeze" => {
             let name = pick_name(deployment, &all);
-            if deployment.up(name) {
+            if deployment.is_up(name) {
                 deployment.freeze(name);
             }
             schedule_action(deployment, duration, name, "thaw");
@@ -302,7 +302,7 @@
         }
         "odd-bounds" => {
             let name = pick_name(deployment, &nodes);
-            timeline::act(deployment, name, "odd");
+            timeline::apply_action(deployment, name, "odd");
             schedule_action(deployment, ms(2000), name, "even");
             fault(name, ms(2000))
         }
@@ -312,11 +312,11 @@
             fault(name, Duration::ZERO)
         }
         "stall-then-dark" => {
-            let name = deployment.leader(&group).unwrap_or_default();
+            let name = deployment.primary(&group).unwrap_or_default();
             let others: Vec<String> =
                 servers.iter().filter(|s| s.starts_with(&group) && **s != name).cloned().collect();
             let one = pick_name(deployment, &others);
-            timeline::act(deployment, one, "stall");
+            timeline::apply_action(deployment, one, "stall");
             schedule_action(deployment, duration, one, "flow");
             schedule_action(deployment, ms(deployment.fault_rand_below(3000)), &name, "dark");
             schedule_action(deployment, duration + ms(4000), &name, "start");
@@ -324,7 +324,7 @@
         }
         "stall" | "sick" | "drain" => {
             let name = pick_name(deployment, &servers);
-            timeline::act(deployment, name, kind);
+            timeline::apply_action(deployment, name, kind);
             let end = match kind {
                 "stall" => "flow",
                 "sick" => "well",
@@ -336,9 +336,9 @@
         "mute" | "late-answer" => {
             let name = match deployment.fault_rand_below(2) {
                 0 => pick_name(deployment, &servers).to_string(),
-                _ => deployment.leader(&group).unwrap_or_default(),
+                _ => deployment.primary(&group).unwrap_or_default(),
             };
-            timeline::act(deployment, &name, if kind == "mute" { "mute" } else { "late" });
+            timeline::apply_action(deployment, &name, if kind == "mute" { "mute" } else { "late" });
             fault(&name, Duration::ZERO)
         }
         "empty" => {
@@ -358,16 +358,18 @@
         }
         "caller-cut" => {
             let (env, target, id) =
-                (deployment.desk(), node(pick_name(deployment, &nodes)), deployment.history.numbers.next());
+                (deployment.client_env(), node(pick_name(deployment, &nodes)), deployment.history.ids.next());
             let target_name = target.name.clone();
-            deployment.spawn_at_desk(async move { load::cut_short(&env, target.addr, id).await });
+            deployment.spawn_on_client_host(async move { load::send_truncated_write(&env, target.addr, id).await });
             fault(&target_name, Duration::ZERO)
         }
         "twice" => {
             let (env, target, history) =
-                (deployment.desk(), node(pick_name(deployment, &nodes)), deployment.history.clone());
+                (deployment.client_env(), node(pick_name(deployment, &nodes)), deployment.history.clone());
             let target_name = target.name.clone();
-            deployment.spawn_at_desk(async move { load::thrice(&env, &target, &history).await });
+            deployment.spawn_on_client_host(async move {
+                load::send_same_attempt_three_times(&env, &target, &history).await
+            });
             fault(&target_name, Duration::ZERO)
         }
         _ => fault("", Duration::ZERO),
--- a/kit/src/sim/measurements.rs
+++ b/kit/src/sim/measurements.rs
@@ -4,7 +4,7 @@
 
 use base::settings::PolicySettings;
 
-use super::{Build, Town, act};
+use super::{Deployment, DeploymentOptions, apply_action};
 use crate::fleet;
 
 fn secs(seconds: u64) -> Duration {
@@ -12,14 +12,15 @@
 }
 
 /// The body of a node's HTTP page; empty without a response within 5 s.
-fn fetch_page(deployment: &Rc<Town>, node: usize, path: &str) -> String {
-    let (env, addr, path) = (deployment.desk(), deployment.layout.spokes[node].http, path.to_string());
-    let response = deployment.at_desk(secs(5), async move { fleet::ask(&env, addr, "GET", &path, "").await });
+fn fetch_page(deployment: &Rc<Deployment>, node: usize, path: &str) -> String {
+    let (env, addr, path) = (deployment.client_env(), deployment.layout.nodes[node].http, path.to_string());
+    let response =
+        deployment.run_on_client_host(secs(5), async move { fleet::send_request(&env, addr, "GET", &path, "").await });
     response.flatten().map(|r| String::from_utf8_lossy(&r.body).into_owned()).unwrap_or_default()
 }
 
 /// A node's share of a server's connections, as its status page shows it; 0 if it shows none.
-fn connection_share(deployment: &Rc<Town>, node: usize, server: &str) -> u64 {
+fn connection_share(deployment: &Rc<Deployment>, node: usize, server: &str) -> u64 {
     let page = fetch_page(deployment, node, "/status");
     let share = page.split(&format!("\"server\":\"{server}\",\"share\":")).nth(1).unwrap_or("0");
     share.split(',').next().and_then(|number| number.parse().ok()).unwrap_or(0)
@@ -35,26 +36,26 @@
     println!("{:>10}{:>10}{:>10}{:>10}{:>12}{:>12}", "interval", "window", "sick", "out", "flapping", "out");
     for (interval, window) in [(60, 60), (60, 10), (30, 10), (10, 60), (10, 10), (5, 10), (1, 5)] {
         let run = |flapping: bool| {
-            let deployment = Town::new(7, Build::default());
+            let deployment = Deployment::new(7, DeploymentOptions::default());
             deployment.set_policy(&PolicySettings {
                 eval_interval_ms: interval * 1000,
                 window_ms: window * 1000,
                 ..PolicySettings::default()
             });
-            if deployment.settle(secs(30)).is_err() {
+            if deployment.configure_and_wait(secs(30)).is_err() {
                 return (0, 0);
             }
-            deployment.drive(90, 120.0, secs(90));
-            deployment.sim.pass(secs(6));
+            deployment.start_load(90, 120.0, secs(90));
+            deployment.sim.run_for(secs(6));
             for i in 0..14 {
-                act(&deployment, "g3-b", if flapping && i % 4 >= 2 { "well" } else { "sick" });
-                deployment.sim.pass(secs(1));
+                apply_action(&deployment, "g3-b", if flapping && i % 4 >= 2 { "well" } else { "sick" });
+                deployment.sim.run_for(secs(1));
             }
-            act(&deployment, "g3-b", "well");
+            apply_action(&deployment, "g3-b", "well");
             let mut excluded_node_seconds = 0;
             for _ in 0..70 {
-                deployment.sim.pass(secs(1));
-                excluded_node_seconds += (0..deployment.layout.spokes.len())
+                deployment.sim.run_for(secs(1));
+                excluded_node_seconds += (0..deployment.layout.nodes.len())
                     .filter(|node| {
                         let lists = fetch_page(&deployment, *node, "/lists");
                         let database = lists.split("\"database\":\"hours\"").nth(1).unwrap_or("");
@@ -64,7 +65,7 @@
                     })
                     .count();
             }
-            let failed_reads = deployment.servers.borrow()["g3-b"].stats.borrow().spoilt;
+            let failed_reads = deployment.servers.borrow()["g3-b"].stats.borrow().failed_reads;
             (failed_reads, excluded_node_seconds)
         };
         let ((sick, sick_excluded), (flapping, flapping_excluded)) = (run(false), run(true));
@@ -75,8 +76,11 @@
 /// All clients are in one zone, then in another: how many connections each node may open to the primary of `pay`.
 fn shares() {
     println!("\nshares of g1-a's 37 connections over six nodes; 200 sessions in north (n1, n4), then in mid (n2, n5)");
-    let deployment = Town::new(3, Build { work: Duration::from_millis(60), ..Build::default() });
-    if deployment.settle(secs(30)).is_err() {
+    let deployment = Deployment::new(
+        3,
+        DeploymentOptions { statement_time: Duration::from_millis(60), ..DeploymentOptions::default() },
+    );
+    if deployment.configure_and_wait(secs(30)).is_err() {
         return;
     }
     let print_shares = |phase: &str| {
@@ -86,13 +90,13 @@
     };
     print_shares("idle");
     deployment.start_load_in_zone("north", 200, 300.0, secs(10));
-    deployment.sim.pass(secs(9));
+    deployment.sim.run_for(secs(9));
     print_shares("north busy");
-    deployment.sim.pass(secs(2));
+    deployment.sim.run_for(secs(2));
     deployment.start_load_in_zone("mid", 200, 300.0, secs(10));
     let mut moved_after_ms = None;
     for i in 0..40 {
-        deployment.sim.pass(Duration::from_millis(250));
+        deployment.sim.run_for(Duration::from_millis(250));
         if moved_after_ms.is_none()
             && connection_share(&deployment, 1, "g1-a") + connection_share(&deployment, 4, "g1-a") >= 26
         {
@@ -101,14 +105,14 @@
     }
     print_shares("mid busy");
     println!("70 % of the connections had moved to mid after {moved_after_ms:?} ms");
-    deployment.sim.pass(secs(12));
+    deployment.sim.run_for(secs(12));
     print_shares("idle again");
 }
 
 /// Number of writes and bytes during `duration`, by the process kinds of sender and receiver.
-fn count_traffic(deployment: &Rc<Town>, duration: Duration) -> BTreeMap<(String, String), (u64, u64)> {
+fn count_traffic(deployment: &Rc<Deployment>, duration: Duration) -> BTreeMap<(String, String), (u64, u64)> {
     let before = deployment.sim.write_totals();
-    deployment.sim.pass(duration);
+    deployment.sim.run_for(duration);
     let mut after = deployment.sim.write_totals();
     for (kinds, earlier) in before {
         let total = after.entry(kinds).or_default();
@@ -137,12 +141,19 @@
     );
     println!("{:>10}{:>10}{:>12}{:>12}{:>14}", "machines", "writes", "bytes", "writes each", "bytes each");
     for machines in [6, 9, 11, 22, 33, 44] {
-        let deployment = Town::new(5, Build { machines, cap: 40.max(machines * 4), ..Build::default() });
-        if deployment.settle(secs(60)).is_err() {
+        let deployment = Deployment::new(
+            5,
+            DeploymentOptions {
+                machines,
+                max_server_connections: 40.max(machines * 4),
+                ..DeploymentOptions::default()
+            },
+        );
+        if deployment.configure_and_wait(secs(60)).is_err() {
             println!("{machines:>10} did not settle");
             continue;
         }
-        deployment.sim.pass(secs(5));
+        deployment.sim.run_for(secs(5));
         let (writes, bytes) = sum_traffic(&count_traffic(&deployment, secs(10)), &CONTROL_TRAFFIC);
         let machine_seconds = machines as u64 * 10;
         println!(
@@ -159,11 +170,11 @@
 fn request_cost() {
     println!("\ncost: writes to the network and bytes, in addition to an idle deployment of nine machines");
     let idle = |sessions: usize| {
-        let deployment = Town::new(6, Build { machines: 9, ..Build::default() });
-        let _ = deployment.settle(secs(60));
-        deployment.drive(sessions, 0.001, secs(30));
+        let deployment = Deployment::new(6, DeploymentOptions { machines: 9, ..DeploymentOptions::default() });
+        let _ = deployment.configure_and_wait(secs(60));
+        deployment.start_load(sessions, 0.001, secs(30));
         deployment.hold_idle_sessions(sessions);
-        deployment.sim.pass(secs(5));
+        deployment.sim.run_for(secs(5));
         let polls = deployment.sim.trace().1;
         let traffic = count_traffic(&deployment, secs(10));
         (traffic.values().map(|total| total.0).sum::<u64>(), deployment.sim.trace().1 - polls)
@@ -175,16 +186,19 @@
         many_sessions.1 as i64 - one_session.1 as i64
     );
     for (rate, name) in [(50.0, "50/s"), (450.0, "450/s")] {
-        let deployment = Town::new(6, Build { machines: 9, cap: 80, ..Build::default() });
-        let _ = deployment.settle(secs(60));
-        deployment.sim.pass(secs(5));
+        let deployment = Deployment::new(
+            6,
+            DeploymentOptions { machines: 9, max_server_connections: 80, ..DeploymentOptions::default() },
+        );
+        let _ = deployment.configure_and_wait(secs(60));
+        deployment.sim.run_for(secs(5));
         let idle_traffic = count_traffic(&deployment, secs(10));
-        deployment.drive(300, rate, secs(14));
-        deployment.sim.pass(secs(2));
-        let before = deployment.history.events.borrow().len();
+        deployment.start_load(300, rate, secs(14));
+        deployment.sim.run_for(secs(2));
+        let before = deployment.history.requests.borrow().len();
         let (polls, traffic) = (deployment.sim.trace().1, count_traffic(&deployment, secs(10)));
         let polls = deployment.sim.trace().1 - polls;
-        let requests = (deployment.history.events.borrow().len() - before).max(1) as f64;
+        let requests = (deployment.history.requests.borrow().len() - before).max(1) as f64;
         for (peers, pairs) in [
             ("clients and nodes", [("desk", "spoke"), ("spoke", "desk")]),
             ("nodes and servers", [("spoke", "server"), ("server", "spoke")]),
@@ -203,7 +217,7 @@
 }
 
 /// Prints the measurements that docs/measured.md lists, or only the section `only`.
-pub fn figures(only: Option<&str>) {
+pub fn print_measurements(only: Option<&str>) {
     for (section, print) in
         [("selection", selection as fn()), ("shares", shares), ("control", control_traffic), ("cost", request_cost)]
     {
--- a/kit/src/sim/mod.rs
+++ b/kit/src/sim/mod.rs
@@ -15,11 +15,11 @@
 mod runtime;
 mod timeline;
 
-pub use core::{Line, Sim};
-pub use deployment::{Build, DisabledGuards, Town};
-pub use fault_injection::KINDS;
-pub use measurements::figures;
+pub use core::{LogLine, Sim};
+pub use deployment::{Deployment, DeploymentOptions, DisabledGuards};
+pub use fault_injection::FAULT_KINDS;
+pub use measurements::print_measurements;
 pub use operators::Operators;
-pub use platform_deployment::{AREAS, Hall, PlatformDeploymentOptions as HallBuild};
-pub use randomized_run::{Draw, Outcome, swarm};
-pub use timeline::{Scene, act, drawn, play};
+pub use platform_deployment::{PlatformDeployment, PlatformDeploymentOptions, ZONES};
+pub use randomized_run::{FaultSelection, RandomizedResult, run_randomized};
+pub use timeline::{TimelineResult, apply_action, formatted_log, run_timeline};
--- a/kit/src/sim/operators.rs
+++ b/kit/src/sim/operators.rs
@@ -4,10 +4,10 @@
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
 use base::Env;
-use platform::stand::{Order, Plan, read_back};
+use platform::stand_in::{Order, Workload, read_back};
 
-use super::Hall;
-use crate::check_orders::{self, Attempt, Heard, History, Read};
+use super::PlatformDeployment;
+use crate::check_orders::{self, Attempt, History, Read, Response};
 
 /// How long an operator waits for a response, unless it gives up early on purpose.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -20,7 +20,7 @@
 pub struct Operators {
     env: Env,
     nodes: Vec<SocketAddr>,
-    plans: Vec<Plan>,
+    plans: Vec<Workload>,
     history: RefCell<History>,
     running: std::cell::Cell<usize>,
 }
@@ -30,23 +30,23 @@
 
 impl Operators {
     /// Operators for a deployment that has a configuration and serves.
-    pub fn new(deployment: &Hall) -> Rc<Self> {
+    pub fn new(deployment: &PlatformDeployment) -> Rc<Self> {
         Rc::new(Self {
-            env: deployment.desk(),
-            nodes: deployment.control(),
-            plans: deployment.plans(Duration::ZERO),
+            env: deployment.client_env(),
+            nodes: deployment.control_addresses(),
+            plans: deployment.load_plans(Duration::ZERO),
             history: RefCell::default(),
             running: Default::default(),
         })
     }
 
     /// Starts `count` operators, which send orders for `duration`.
-    pub fn start(self: &Rc<Self>, deployment: &Hall, count: usize, duration: Duration) {
+    pub fn start(self: &Rc<Self>, deployment: &PlatformDeployment, count: usize, duration: Duration) {
         let until = self.env.now() + duration;
         for index in 0..count {
             let operators = self.clone();
             operators.running.set(operators.running.get() + 1);
-            deployment.to_desk(async move {
+            deployment.spawn_on_client_host(async move {
                 operators.run_operator(index, until).await;
                 operators.running.set(operators.running.get() - 1);
             });
@@ -54,18 +54,18 @@
     }
 
     /// Waits until all operators have ended, and then reads the configuration, for at most 60 s each.
-    pub fn finish(self: &Rc<Self>, deployment: &Hall) {
+    pub fn finish(self: &Rc<Self>, deployment: &PlatformDeployment) {
         let operators = self.clone();
-        deployment.sim.run(deployment.sim.now() + Duration::from_secs(60), &move || operators.running.get() == 0);
+        deployment.sim.run_until(deployment.sim.now() + Duration::from_secs(60), &move || operators.running.get() == 0);
         let (operators, done) = (self.clone(), Rc::new(std::cell::Cell::new(false)));
         let finished = done.clone();
-        deployment.to_desk(async move {
+        deployment.spawn_on_client_host(async move {
             while operators.read_configuration().await.is_none() {
                 operators.env.sleep(MAX_RETRY_DELAY).await;
             }
             finished.set(true);
         });
-        deployment.sim.run(deployment.sim.now() + Duration::from_secs(60), &move || done.get());
+        deployment.sim.run_until(deployment.sim.now() + Duration::from_secs(60), &move || done.get());
     }
 
     /// All attempts and reads so far.
@@ -74,9 +74,9 @@
     }
 
     /// The number of different orders that were acknowledged.
-    pub fn taken(&self) -> usize {
+    pub fn acknowledged_orders(&self) -> usize {
         let history = self.history.borrow();
-        let marks = history.attempts.iter().filter(|a| a.heard == Heard::Taken).map(|a| &a.order.mark);
+        let marks = history.attempts.iter().filter(|a| a.response == Response::Accepted).map(|a| &a.order.mark);
         marks.collect::<std::collections::BTreeSet<_>>().len()
     }
 
@@ -109,7 +109,7 @@
     fn build_order(&self, read: &Read, mark: &str) -> SentOrder {
         let number = read.number + 1 + self.env.rand_below(2);
         let replace_all = self.env.rand_below(2) == 0;
-        let new_order = if replace_all { Order::whole } else { Order::patch };
+        let new_order = if replace_all { Order::replacement } else { Order::change };
         let order = new_order(&self.plans, read.number, number, mark);
         (order, check_orders::Order { mark: mark.into(), after: read.number, number })
     }
@@ -124,7 +124,7 @@
             } else {
                 RESPONSE_TIMEOUT
             };
-            if self.send_once(sent, timeout).await != Heard::Nothing {
+            if self.send_once(sent, timeout).await != Response::Unknown {
                 return;
             }
             self.env.sleep(retry_delay).await;
@@ -133,14 +133,14 @@
     }
 
     /// Sends an order once and records the attempt.
-    async fn send_once(&self, (order, identity): &SentOrder, timeout: Duration) -> Heard {
+    async fn send_once(&self, (order, identity): &SentOrder, timeout: Duration) -> Response {
         let started = self.env.now();
         let heard = match order.send(&self.env, self.any_node(), timeout).await {
-            Some((200, _)) => Heard::Taken,
-            Some((400 | 409 | 412 | 413 | 422, _)) => Heard::Refused,
-            _ => Heard::Nothing,
+            Some((200, _)) => Response::Accepted,
+            Some((400 | 409 | 412 | 413 | 422, _)) => Response::Refused,
+            _ => Response::Unknown,
         };
-        let attempt = Attempt { order: identity.clone(), call: started, done: self.env.now(), heard };
+        let attempt = Attempt { order: identity.clone(), sent: started, answered: self.env.now(), response: heard };
         self.history.borrow_mut().attempts.push(attempt);
         heard
     }
@@ -149,7 +149,7 @@
     async fn read_configuration(&self) -> Option<Read> {
         let started = self.env.now();
         let response = read_back(&self.env, self.any_node(), RESPONSE_TIMEOUT).await?;
-        let read = Read { number: response.number, mark: response.mark, call: started, done: self.env.now() };
+        let read = Read { number: response.number, mark: response.mark, sent: started, answered: self.env.now() };
         self.history.borrow_mut().reads.push(read.clone());
         Some(read)
     }
--- a/kit/src/sim/platform_deployment.rs
+++ b/kit/src/sim/platform_deployment.rs
@@ -3,27 +3,30 @@
 
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
-use platform::stand::{Bank, Ledger, Plan, Setup, configure, drive, duty, serve, settings};
+use platform::stand_in::{
+    ClientHistory, ReplicatedStore, ServerConfig, Workload, configure, run_client, serve, serve_promotions,
+    settings_file,
+};
 
-use super::core::{Line, Sim};
+use super::core::{LogLine, Sim};
 
 /// Size of a simulated deployment, and the guards it runs without.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformDeploymentOptions {
     /// Number of machines in each zone; each runs a node.
-    pub machines: usize,
+    pub machines_per_zone: usize,
     /// Number of control nodes in each zone, on its first machines. The settings name only the first of each zone.
-    pub hubs: usize,
+    pub control_nodes_per_zone: usize,
     /// How many machines may fail at the same time.
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Number of groups, of three servers each.
     pub groups: usize,
     /// Whether the spare control node `hx`, which no settings name, runs from the start.
-    pub fourth: bool,
+    pub with_spare_control_node: bool,
     /// Whether the settings list all zones.
-    pub zones: bool,
+    pub list_zones: bool,
     /// A server that sends no heartbeats until the action `tell`.
-    pub silent: Option<&'static str>,
+    pub silent_server: Option<&'static str>,
     /// Guards that the control nodes run without.
     pub hub: hub::DisabledGuards,
     /// Guards that the nodes run without.
@@ -33,13 +36,13 @@
 impl Default for PlatformDeploymentOptions {
     fn default() -> Self {
         Self {
-            machines: 2,
-            hubs: 1,
-            losses: 1,
+            machines_per_zone: 2,
+            control_nodes_per_zone: 1,
+            tolerated_losses: 1,
             groups: 2,
-            fourth: false,
-            zones: true,
-            silent: None,
+            with_spare_control_node: false,
+            list_zones: true,
+            silent_server: None,
             hub: Default::default(),
             spoke: Default::default(),
         }
@@ -47,7 +50,7 @@
 }
 
 /// The names of the zones.
-pub const AREAS: [&str; 3] = ["north", "mid", "south"];
+pub const ZONES: [&str; 3] = ["north", "mid", "south"];
 
 /// What a process runs, with its configuration; `text` is a settings file.
 #[derive(Clone)]
@@ -58,7 +61,7 @@
     Node {
         text: String,
     },
-    Server(Setup),
+    Server(ServerConfig),
     /// The platform's duty service; its name is `duty`.
     Duty(SocketAddr),
     /// Runs clients and operators; its name is `desk`.
@@ -74,12 +77,12 @@
 }
 
 /// A simulated deployment that uses the platform's protocols.
-pub struct Hall {
+pub struct PlatformDeployment {
     pub sim: Rc<Sim>,
     /// The data of the servers.
-    pub bank: Rc<Bank>,
+    pub store: Rc<ReplicatedStore>,
     /// What clients observed.
-    pub ledger: Rc<Ledger>,
+    pub ledger: Rc<ClientHistory>,
     options: PlatformDeploymentOptions,
     processes: RefCell<BTreeMap<String, Process>>,
     /// Where clients connect to the nodes.
@@ -93,13 +96,13 @@
     format!("{ip}:{port}").parse().expect("an address")
 }
 
-impl Hall {
+impl PlatformDeployment {
     /// Creates a deployment and starts all its processes, except the spare control node unless `fourth` is set.
     pub fn new(seed: u64, build: PlatformDeploymentOptions) -> Rc<Self> {
         let with_zones = |text: String| {
-            let text = text + &format!("[resilience]\nmachine_losses = {}\n", build.losses);
-            match build.zones {
-                true => AREAS.iter().fold(text + "[zones]\n", |text, zone| text + &format!("{zone} = \"all\"\n")),
+            let text = text + &format!("[resilience]\nmachine_losses = {}\n", build.tolerated_losses);
+            match build.list_zones {
+                true => ZONES.iter().fold(text + "[zones]\n", |text, zone| text + &format!("{zone} = \"all\"\n")),
                 false => text,
             }
         };
@@ -108,68 +111,68 @@
         let machine_ip = |zone: usize, machine: usize| format!("10.{}.0.{}", zone + 1, machine + 1);
         let seeds: Vec<String> = (0..3).map(|zone| machine_ip(zone, 0)).collect();
         let duty_address = addr("10.9.0.1", 80);
-        let machines = || (0..3).flat_map(|zone| (0..build.machines).map(move |machine| (zone, machine)));
+        let machines = || (0..3).flat_map(|zone| (0..build.machines_per_zone).map(move |machine| (zone, machine)));
         let deployment = Rc::new(Self {
             sim: Sim::new(seed),
-            bank: Bank::new(&groups),
+            store: ReplicatedStore::new(&groups),
             ledger: Rc::default(),
             options: build,
             processes: RefCell::default(),
             access_addresses: machines().map(|(zone, machine)| addr(&machine_ip(zone, machine), 8784)).collect(),
             control_addresses: machines()
-                .filter(|(_, machine)| *machine < build.hubs)
+                .filter(|(_, machine)| *machine < build.control_nodes_per_zone)
                 .map(|(zone, machine)| addr(&machine_ip(zone, machine), 8782))
                 .collect(),
         });
         let add = |name: &str, zone: &str, kind: ProcessKind| {
-            let host = deployment.sim.host(name, zone);
+            let host = deployment.sim.add_host(name, zone);
             deployment.processes.borrow_mut().insert(name.into(), Process { host, kind, shutdown: Rc::default() });
         };
         add("duty", "duty", ProcessKind::Duty(duty_address));
         add("desk", "desk", ProcessKind::ClientHost);
         for (zone, machine) in machines() {
-            let name = format!("{}{machine}", AREAS[zone]);
-            let text = with_zones(settings(
+            let name = format!("{}{machine}", ZONES[zone]);
+            let text = with_zones(settings_file(
                 &name,
                 &machine_ip(zone, machine),
-                AREAS[zone],
+                ZONES[zone],
                 &seeds,
                 duty_address,
-                machine < build.hubs,
+                machine < build.control_nodes_per_zone,
             ));
-            if machine < build.hubs {
+            if machine < build.control_nodes_per_zone {
                 let control_node = if machine == 0 { format!("h{zone}") } else { format!("h{zone}{machine}") };
-                add(&control_node, AREAS[zone], ProcessKind::ControlNode { text: text.clone() });
+                add(&control_node, ZONES[zone], ProcessKind::ControlNode { text: text.clone() });
             }
-            add(&format!("n{zone}{machine}"), AREAS[zone], ProcessKind::Node { text });
+            add(&format!("n{zone}{machine}"), ZONES[zone], ProcessKind::Node { text });
         }
         // A machine without data that can replace another control node, at an address that no settings name.
-        let text = with_zones(settings("spare", "10.2.0.200", AREAS[1], &seeds, duty_address, true));
-        add("hx", AREAS[1], ProcessKind::ControlNode { text });
+        let text = with_zones(settings_file("spare", "10.2.0.200", ZONES[1], &seeds, duty_address, true));
+        add("hx", ZONES[1], ProcessKind::ControlNode { text });
         for (group_index, (group, servers)) in groups.iter().enumerate() {
             for (server_index, server) in servers.iter().enumerate() {
                 // The first primary of each group is in another zone.
                 let zone = (group_index + server_index) % 3;
                 let ip = format!("10.{}.64.{}", zone + 1, group_index * 3 + server_index + 1);
-                let setup = Setup {
+                let setup = ServerConfig {
                     name: server.clone(),
                     group: group.clone(),
-                    area: AREAS[zone].into(),
+                    zone: ZONES[zone].into(),
                     addr: addr(&ip, 9000),
                     nodes: deployment.control_addresses.clone(),
-                    cap: 60,
-                    work: Duration::from_millis(3),
-                    lag: Duration::from_millis(15),
+                    max_sessions: 60,
+                    processing_time: Duration::from_millis(3),
+                    apply_delay: Duration::from_millis(15),
                 };
-                add(server, AREAS[zone], ProcessKind::Server(setup));
+                add(server, ZONES[zone], ProcessKind::Server(setup));
             }
         }
-        if let Some(server) = build.silent {
-            deployment.bank.copy(server, |copy| copy.silent = true);
+        if let Some(server) = build.silent_server {
+            deployment.store.with_replica(server, |copy| copy.heartbeats_paused = true);
         }
         let names: Vec<String> = deployment.processes.borrow().keys().cloned().collect();
         for name in &names {
-            if name == "hx" && !build.fourth {
+            if name == "hx" && !build.with_spare_control_node {
                 deployment.sim.kill(deployment.processes.borrow()[name].host, false);
             } else {
                 deployment.launch(name);
@@ -188,7 +191,7 @@
         };
         let env = self.sim.env(host);
         let boot_id = self.sim.hosts.borrow()[host].boot_id;
-        let (bank, options) = (self.bank.clone(), self.options);
+        let (store, options) = (self.store.clone(), self.options);
         let shutdown_requested = async move |env: &base::Env| {
             while !shutdown.get() {
                 env.sleep(Duration::from_millis(20)).await;
@@ -196,12 +199,12 @@
         };
         let task: std::pin::Pin<Box<dyn Future<Output = ()>>> = match kind {
             ProcessKind::ClientHost => return,
-            ProcessKind::Duty(address) => Box::pin(duty(env, bank, address, Duration::from_millis(500))),
-            ProcessKind::Server(setup) => Box::pin(serve(env, bank, setup)),
+            ProcessKind::Duty(address) => Box::pin(serve_promotions(env, store, address, Duration::from_millis(500))),
+            ProcessKind::Server(setup) => Box::pin(serve(env, store, setup)),
             ProcessKind::ControlNode { text } => Box::pin(async move {
-                let settings = platform::read(&text, true).expect("settings");
-                let config = settings.set.check().expect("settings");
-                let node = match hub::PlatformHub::start(&env, &settings, &config, options.hub).await {
+                let settings = platform::parse_settings(&text, true).expect("settings");
+                let config = settings.settings.check().expect("settings");
+                let node = match hub::PlatformControlNode::start(&env, &settings, &config, options.hub).await {
                     Ok(node) => node,
                     Err(error) => return env.abort_process(&error.to_string()),
                 };
@@ -210,14 +213,14 @@
                 env.abort_process("has shut down as requested");
             }),
             ProcessKind::Node { text } => Box::pin(async move {
-                let settings = platform::read(&text, false).expect("settings");
-                let config = settings.set.check().expect("settings");
-                let node = match spoke::PlatformSpoke::start(&env, &settings, &config, options.spoke).await {
+                let settings = platform::parse_settings(&text, false).expect("settings");
+                let config = settings.settings.check().expect("settings");
+                let node = match spoke::PlatformNode::start(&env, &settings, &config, options.spoke).await {
                     Ok(node) => node,
                     Err(error) => return env.abort_process(&error.to_string()),
                 };
                 shutdown_requested(&env).await;
-                node.leave().await;
+                node.shut_down().await;
                 env.abort_process("has shut down as requested");
             }),
         };
@@ -226,13 +229,13 @@
 
     /// The kinds of clients: for each group, one that reads all acknowledged writes, one that reads with a staleness bound
     /// of 1500 ms, and one that also reads its own writes, with a bound of 2500 ms. They run for `duration`.
-    pub fn plans(&self, duration: Duration) -> Vec<Plan> {
+    pub fn load_plans(&self, duration: Duration) -> Vec<Workload> {
         let until = self.sim.now() + duration;
         let kinds = [("all", None), ("old", Some(1500)), ("own", Some(2500))];
-        let plan = |group: usize, (kind, stale_ms): (&str, Option<u64>)| Plan {
-            name: format!("{kind}{group}"),
+        let plan = |group: usize, (kind, stale_ms): (&str, Option<u64>)| Workload {
+            database: format!("{kind}{group}"),
             group: format!("g{group}"),
-            stale: stale_ms.map(Duration::from_millis),
+            max_staleness: stale_ms.map(Duration::from_millis),
             nodes: self.access_addresses.clone(),
             pause: Duration::from_millis(25),
             until,
@@ -241,45 +244,45 @@
     }
 
     /// The environment of the host of clients and operators.
-    pub fn desk(&self) -> base::Env {
+    pub fn client_env(&self) -> base::Env {
         self.sim.env(self.processes.borrow()["desk"].host)
     }
 
     /// The addresses where servers and operators connect to the control nodes that the deployment started with.
-    pub fn control(&self) -> Vec<SocketAddr> {
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
         self.control_addresses.clone()
     }
 
     /// Starts a task on the host of clients and operators, and returns at once.
-    pub fn to_desk(&self, task: impl Future<Output = ()> + 'static) {
+    pub fn spawn_on_client_host(&self, task: impl Future<Output = ()> + 'static) {
         let host = self.processes.borrow()["desk"].host;
         self.sim.spawn(host, self.sim.hosts.borrow()[host].boot_id, Box::pin(task));
     }
 
     /// Sends the first configuration, and waits until it is acknowledged, for at most 20 s.
-    pub fn open(&self) {
+    pub fn configure(&self) {
         let env = self.sim.env(self.processes.borrow()["desk"].host);
-        let (nodes, plans) = (self.control_addresses.clone(), self.plans(Duration::ZERO));
+        let (nodes, plans) = (self.control_addresses.clone(), self.load_plans(Duration::ZERO));
         let done = Rc::new(std::cell::Cell::new(false));
         let accepted = done.clone();
-        self.to_desk(async move { accepted.set(configure(&env, &nodes, &plans, 0, 3).await) });
+        self.spawn_on_client_host(async move { accepted.set(configure(&env, &nodes, &plans, 0, 3).await) });
         let end = self.sim.now() + Duration::from_secs(20);
-        self.sim.run(end, &move || done.get());
+        self.sim.run_until(end, &move || done.get());
     }
 
     /// Sends the first configuration, and waits 4 s more so that all groups are served.
-    pub fn settle(&self) {
-        self.open();
-        self.sim.pass(Duration::from_secs(4));
+    pub fn configure_and_wait(&self) {
+        self.configure();
+        self.sim.run_for(Duration::from_secs(4));
     }
 
     /// Starts `per_plan` clients of each kind, which run for `duration`.
-    pub fn drive(&self, per_plan: usize, duration: Duration) {
+    pub fn start_load(&self, per_plan: usize, duration: Duration) {
         let host = self.processes.borrow()["desk"].host;
-        for plan in self.plans(duration) {
+        for plan in self.load_plans(duration) {
             for _ in 0..per_plan {
-                let task = drive(self.sim.env(host), self.ledger.clone(), plan.clone());
-                self.to_desk(task);
+                let task = run_client(self.sim.env(host), self.ledger.clone(), plan.clone());
+                self.spawn_on_client_host(task);
             }
         }
     }
@@ -288,7 +291,7 @@
     /// (`all`), or the nodes and control nodes without the spare one (`machines`).
     fn resolve_processes(&self, name: &str) -> Vec<String> {
         if let Some(group) = name.strip_prefix("lead") {
-            return vec![self.bank.leader(&format!("g{group}"))];
+            return vec![self.store.primary_of(&format!("g{group}"))];
         }
         let processes = self.processes.borrow();
         if processes.contains_key(name) {
@@ -316,7 +319,7 @@
     /// - `cut>NAME` (this direction), `part>NAME` (both directions), `heal>NAME` (both directions)
     ///
     /// Panics on an unknown action.
-    pub fn act(&self, name: &str, action: &str) {
+    pub fn apply_action(&self, name: &str, action: &str) {
         let targets = self.resolve_processes(name);
         let host = |name: &str| self.processes.borrow()[name].host;
         if let Some((path_action, to)) = action.split_once('>') {
@@ -348,30 +351,30 @@
                     self.sim.files(host(target)).wipe();
                 }
                 "start" if !self.sim.is_up(host(target)) => {
-                    self.sim.boot(host(target));
+                    self.sim.bring_up(host(target));
                     self.launch(target);
                 }
                 "start" => {}
                 "freeze" => self.sim.freeze(host(target)),
                 "thaw" => self.sim.thaw(host(target)),
                 "leave" => self.processes.borrow()[target].shutdown.set(true),
-                "deaf" => drop(self.bank.copy(target, |copy| copy.deaf = true)),
-                "hear" => drop(self.bank.copy(target, |copy| copy.deaf = false)),
-                "mute" => drop(self.bank.copy(target, |copy| copy.mute = 20)),
-                "loud" => drop(self.bank.copy(target, |copy| copy.mute = 0)),
-                "silent" => drop(self.bank.copy(target, |copy| copy.silent = true)),
-                "tell" => drop(self.bank.copy(target, |copy| copy.silent = false)),
-                "shut" => drop(self.bank.copy(target, |copy| copy.shut = true)),
-                "open" => drop(self.bank.copy(target, |copy| copy.shut = false)),
+                "deaf" => drop(self.store.with_replica(target, |copy| copy.replication_paused = true)),
+                "hear" => drop(self.store.with_replica(target, |copy| copy.replication_paused = false)),
+                "mute" => drop(self.store.with_replica(target, |copy| copy.unanswered_one_in = 20)),
+                "loud" => drop(self.store.with_replica(target, |copy| copy.unanswered_one_in = 0)),
+                "silent" => drop(self.store.with_replica(target, |copy| copy.heartbeats_paused = true)),
+                "tell" => drop(self.store.with_replica(target, |copy| copy.heartbeats_paused = false)),
+                "shut" => drop(self.store.with_replica(target, |copy| copy.refuses_sessions = true)),
+                "open" => drop(self.store.with_replica(target, |copy| copy.refuses_sessions = false)),
                 "quit" => {
                     let env = self.sim.env(self.processes.borrow()["desk"].host);
                     let (nodes, name) = (self.control_addresses.clone(), target.clone());
-                    self.to_desk(async move {
-                        platform::stand::quit(&env, &nodes, &name).await;
+                    self.spawn_on_client_host(async move {
+                        platform::stand_in::deregister_server(&env, &nodes, &name).await;
                     });
                     self.sim.kill(host(target), false);
                 }
-                "drain" => drop(self.bank.copy(target, |copy| copy.draining = true)),
+                "drain" => drop(self.store.with_replica(target, |copy| copy.draining = true)),
                 other => panic!("no action {other:?}"),
             }
         }
@@ -379,13 +382,13 @@
 
     /// Runs a timeline after the first configuration: the first line names the columns after its first word, each further
     /// line has the seconds since the load began and an action for each column (see `apply_action`).
-    pub fn play(&self, text: &str) {
-        self.settle();
-        self.play_at_once(text);
+    pub fn run_timeline(&self, text: &str) {
+        self.configure_and_wait();
+        self.run_timeline_when_configured(text);
     }
 
     /// As `run_timeline`, in a deployment that has a configuration already.
-    pub fn play_at_once(&self, text: &str) {
+    pub fn run_timeline_when_configured(&self, text: &str) {
         let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
         let names: Vec<&str> = lines.next().expect("a line of column names").split_whitespace().skip(1).collect();
         let steps: Vec<(f64, Vec<&str>)> = lines
@@ -396,28 +399,30 @@
             .collect();
         let end = steps.last().map_or(0.0, |r| r.0);
         let start = self.sim.now();
-        self.drive(4, Duration::from_secs_f64(end + 8.0));
+        self.start_load(4, Duration::from_secs_f64(end + 8.0));
         for (at, actions) in steps {
-            self.sim.run(start + Duration::from_secs_f64(at), &|| false);
-            names.iter().zip(actions).for_each(|(name, action)| self.act(name, action));
+            self.sim.run_until(start + Duration::from_secs_f64(at), &|| false);
+            names.iter().zip(actions).for_each(|(name, action)| self.apply_action(name, action));
         }
-        self.sim.pass(Duration::from_secs(14));
+        self.sim.run_for(Duration::from_secs(14));
     }
 
     /// All violations of the guarantees that clients and stand-ins observed.
     pub fn findings(&self) -> Vec<String> {
-        self.ledger.findings(&self.bank)
+        self.ledger.findings(&self.store)
     }
 
     /// The number of successful requests in each second of simulated time in `from..to`.
-    pub fn served(&self, from: u64, to: u64) -> Vec<u64> {
-        let successes = self.ledger.seconds.borrow();
+    pub fn successes_per_second(&self, from: u64, to: u64) -> Vec<u64> {
+        let successes = self.ledger.succeeded_by_second.borrow();
         (from..to).map(|second| successes.get(&second).copied().unwrap_or(0)).collect()
     }
 
     /// The log as text, one line each: seconds, process, component, message.
-    pub fn drawn(&self) -> String {
-        let line = |l: &Line| format!("{:>9.3} {:<6} {}: {}\n", l.at.as_secs_f64(), l.who, l.part.prefix(), l.text);
+    pub fn formatted_log(&self) -> String {
+        let line = |l: &LogLine| {
+            format!("{:>9.3} {:<6} {}: {}\n", l.at.as_secs_f64(), l.process, l.component.prefix(), l.text)
+        };
         self.sim.log().iter().map(line).collect()
     }
 }
--- a/kit/src/sim/runtime.rs
+++ b/kit/src/sim/runtime.rs
@@ -5,7 +5,7 @@
 use base::runtime::{Component, Disk, Listener, LocalFuture, Runtime, Stream};
 
 use super::{
-    core::{Line, Sim, TimerEvent, scale_duration},
+    core::{LogLine, Sim, TimerEvent, scale_duration},
     disk::SimDisk,
 };
 
@@ -74,7 +74,12 @@
 
     fn log(&self, part: Component, text: &str) {
         let who = self.sim.hosts.borrow()[self.host].name.clone();
-        self.sim.log_lines.borrow_mut().push(Line { at: self.sim.now(), who, part, text: text.into() });
+        self.sim.log_lines.borrow_mut().push(LogLine {
+            at: self.sim.now(),
+            process: who,
+            component: part,
+            text: text.into(),
+        });
     }
 
     fn abort_process(&self, text: &str) {
--- a/kit/src/sim/timeline.rs
+++ b/kit/src/sim/timeline.rs
@@ -2,11 +2,11 @@
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Build, DisabledGuards, Town};
+use super::{Deployment, DeploymentOptions, DisabledGuards};
 
 /// The result of a timeline.
-pub struct Scene {
-    pub town: Rc<Town>,
+pub struct TimelineResult {
+    pub deployment: Rc<Deployment>,
     pub findings: Vec<String>,
 }
 
@@ -33,11 +33,13 @@
 /// - `mend`: all faults end
 ///
 /// Panics if the deployment does not serve within 30 s, or on an unknown action.
-pub fn play(seed: u64, disabled_guards: DisabledGuards, text: &str) -> Scene {
+pub fn run_timeline(seed: u64, disabled_guards: DisabledGuards, text: &str) -> TimelineResult {
     let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
     let names: Vec<&str> = lines.next().expect("a line of column names").split_whitespace().skip(1).collect();
-    let deployment = Town::new(seed, Build { tricks: disabled_guards, ..Build::default() });
-    deployment.settle(Duration::from_secs(30)).unwrap_or_else(|e| panic!("{e}\n{}", drawn(&deployment)));
+    let deployment = Deployment::new(seed, DeploymentOptions { disabled_guards, ..DeploymentOptions::default() });
+    deployment
+        .configure_and_wait(Duration::from_secs(30))
+        .unwrap_or_else(|e| panic!("{e}\n{}", formatted_log(&deployment)));
     let steps: Vec<(Duration, Vec<&str>)> = lines
         .map(|line| {
             let mut actions = line.split_whitespace();
@@ -47,33 +49,33 @@
         .collect();
     let end = steps.last().map_or(Duration::ZERO, |r| r.0);
     let start = deployment.sim.now();
-    deployment.drive(90, 60.0, end + Duration::from_secs(1));
-    deployment.operate(false, end + Duration::from_secs(1));
+    deployment.start_load(90, 60.0, end + Duration::from_secs(1));
+    deployment.start_operators(false, end + Duration::from_secs(1));
     for (at, actions) in steps {
-        deployment.sim.run(start + at, &|| false);
+        deployment.sim.run_until(start + at, &|| false);
         for (name, action) in names.iter().zip(actions) {
-            act(&deployment, name, action);
+            apply_action(&deployment, name, action);
         }
     }
-    deployment.sim.pass(Duration::from_secs(12));
-    deployment.mend();
-    deployment.sim.pass(Duration::from_secs(12));
+    deployment.sim.run_for(Duration::from_secs(12));
+    deployment.end_all_faults();
+    deployment.sim.run_for(Duration::from_secs(12));
     let findings = deployment.findings();
-    Scene { town: deployment, findings }
+    TimelineResult { deployment, findings }
 }
 
 /// Carries out one action of a timeline on a column (see `run_timeline`). Nothing happens if the column is a group without a
 /// primary.
-pub fn act(deployment: &Rc<Town>, name: &str, action: &str) {
+pub fn apply_action(deployment: &Rc<Deployment>, name: &str, action: &str) {
     let target = match name {
-        "g1" | "g2" | "g3" => deployment.leader(name).unwrap_or_default(),
-        "chief" => deployment.chief().unwrap_or_else(|| "h1".into()),
+        "g1" | "g2" | "g3" => deployment.primary(name).unwrap_or_default(),
+        "chief" => deployment.leading_control_node().unwrap_or_else(|| "h1".into()),
         _ => name.to_string(),
     };
     if target.is_empty() {
         return;
     }
-    let targets = if deployment.layout.areas.contains(&target) {
+    let targets = if deployment.layout.zones.contains(&target) {
         deployment.processes_in_zone(&target)
     } else {
         vec![target.clone()]
@@ -116,12 +118,12 @@
         "full" => targets.iter().for_each(|n| deployment.set_disk_full(n, true)),
         "room" => targets.iter().for_each(|n| deployment.set_disk_full(n, false)),
         "reset" => targets.iter().for_each(|n| deployment.reset_connections(n)),
-        "mute" => for_each_server(&|s| s.mute.set(2)),
-        "late" => for_each_server(&|s| s.late.set(4)),
-        "sick" => for_each_server(&|s| s.sick.set(true)),
-        "well" => for_each_server(&|s| s.sick.set(false)),
-        "stall" => for_each_server(&|s| s.stalled.set(true)),
-        "flow" => for_each_server(&|s| s.stalled.set(false)),
+        "mute" => for_each_server(&|s| s.unanswered_statements.set(2)),
+        "late" => for_each_server(&|s| s.late_statements.set(4)),
+        "sick" => for_each_server(&|s| s.fail_reads.set(true)),
+        "well" => for_each_server(&|s| s.fail_reads.set(false)),
+        "stall" => for_each_server(&|s| s.replication_suspended.set(true)),
+        "flow" => for_each_server(&|s| s.replication_suspended.set(false)),
         "drain" => for_each_server(&|s| s.draining.set(true)),
         "drained" => for_each_server(&|s| s.draining.set(false)),
         "leave" => targets.iter().for_each(|n| deployment.request_shutdown(n)),
@@ -137,26 +139,27 @@
         "quit" => targets.iter().for_each(|n| deployment.change_membership(n, false)),
         "wish" => targets.iter().for_each(|n| deployment.request_handover(n)),
         "empty" | "back" => set_evacuation(deployment, &target, action == "empty"),
-        "mend" => deployment.mend(),
+        "mend" => deployment.end_all_faults(),
         other => panic!("no such action in a timeline: {other}"),
     }
 }
 
 /// Evacuates a zone, or withdraws the evacuation, through random nodes until one accepts it, for at most 10 s.
-fn set_evacuation(deployment: &Rc<Town>, zone: &str, evacuate: bool) {
-    let (env, layout, operator_history) = (deployment.desk(), deployment.layout.clone(), deployment.words.clone());
+fn set_evacuation(deployment: &Rc<Deployment>, zone: &str, evacuate: bool) {
+    let (env, layout, operator_history) =
+        (deployment.client_env(), deployment.layout.clone(), deployment.operator_history.clone());
     if !evacuate {
-        operator_history.taken_back(zone, env.now());
+        operator_history.record_evacuation_end(zone, env.now());
     }
     let zone_name = zone.to_string();
     let path = format!("/ops/areas/{zone}/{}", if evacuate { "empty" } else { "take-back" });
-    let accepted = deployment.at_desk(Duration::from_secs(10), async move {
+    let accepted = deployment.run_on_client_host(Duration::from_secs(10), async move {
         loop {
-            let index = env.rand_below(layout.spokes.len() as u64) as usize;
-            let response = crate::fleet::ask(&env, layout.spokes[index].http, "POST", &path, "").await;
+            let index = env.rand_below(layout.nodes.len() as u64) as usize;
+            let response = crate::fleet::send_request(&env, layout.nodes[index].http, "POST", &path, "").await;
             if response.is_some_and(|r| r.status == 200) {
                 if evacuate {
-                    operator_history.emptied(&zone_name, env.now(), Duration::from_secs(5));
+                    operator_history.record_evacuation(&zone_name, env.now(), Duration::from_secs(5));
                 }
                 return;
             }
@@ -171,14 +174,14 @@
 }
 
 /// The log of a run as text, one line each: seconds, process, component, message.
-pub fn drawn(deployment: &Town) -> String {
+pub fn formatted_log(deployment: &Deployment) -> String {
     let mut text = String::new();
     for line in deployment.sim.log() {
         text.push_str(&format!(
             "{:>9.3} {:<9} {:>6}: {}\n",
             line.at.as_secs_f64(),
-            line.who,
-            line.part.prefix(),
+            line.process,
+            line.component.prefix(),
             line.text
         ));
     }
--- a/kit/src/soak/mod.rs
+++ b/kit/src/soak/mod.rs
@@ -22,12 +22,15 @@
     channel::mpsc,
     future::{Either, select},
 };
-use platform::stand::{Bank, Callers, Dice, Ledger, Plan, Setup, configure, drive, duty, serve, settings};
+use platform::stand_in::{
+    ClientHistory, IdleClients, ReplicatedStore, SeededRandom, ServerConfig, Workload, configure, run_client, serve,
+    serve_promotions, settings_file,
+};
 
 use operator::{Operator, OrderRecord, Task};
-pub use processes::{Fact, Launch, Process};
-pub use script::{Action, Event, Extent, ScriptError, draw, read};
-pub use verdict::{History, Rules, Verdict, judge};
+pub use processes::{Launch, Process, ProcessEvent};
+pub use script::{Action, Event, Extent, ScriptError, generate, parse};
+pub use verdict::{History, Limits, Verdict, check};
 
 const ZONES: [&str; 3] = ["north", "mid", "south"];
 const GROUPS: usize = 3;
@@ -62,10 +65,10 @@
 const MAX_RESTART_DELAY: Duration = Duration::from_millis(1500);
 
 /// The limits that follow from the settings of the processes.
-const RULES: Rules = Rules {
-    loss_slack: Duration::from_millis(200),
-    contact: Duration::from_secs(4),
-    grace: Duration::from_secs(6),
+const RULES: Limits = Limits {
+    unread_slack: Duration::from_millis(200),
+    excuse_after_disturbance: Duration::from_secs(4),
+    end_timeout: Duration::from_secs(6),
     memory_kb: 160 << 10,
 };
 
@@ -74,19 +77,19 @@
 pub struct Soak {
     pub seed: u64,
     /// Length of the script.
-    pub span: Duration,
+    pub duration: Duration,
     /// Number of control nodes and nodes together.
     pub processes: usize,
     /// Number of clients with a session each.
-    pub callers: usize,
+    pub clients: usize,
     /// Number of processes that only use processor time meanwhile.
-    pub busy: usize,
+    pub busy_processes: usize,
     /// A script to run in place of the generated one.
     pub script: Option<Vec<Event>>,
     /// Folder for settings, data and logs.
     pub folder: PathBuf,
     /// Folder of the programs.
-    pub bins: PathBuf,
+    pub program_folder: PathBuf,
 }
 
 /// The result of a soak test.
@@ -133,9 +136,9 @@
     processes: Vec<Process>,
     access_points: Vec<SocketAddr>,
     control_points: Vec<SocketAddr>,
-    store: Rc<Bank>,
+    store: Rc<ReplicatedStore>,
     servers: Vec<String>,
-    plans: Vec<Plan>,
+    plans: Vec<Workload>,
     _network: Network,
     _tasks: Vec<TaskGuard>,
 }
@@ -195,8 +198,11 @@
         ));
     }
     for name in ["hub", "spoke"] {
-        if !soak.bins.join(name).is_file() {
-            return Err(format!("{} does not exist: build the workspace first", soak.bins.join(name).display()));
+        if !soak.program_folder.join(name).is_file() {
+            return Err(format!(
+                "{} does not exist: build the workspace first",
+                soak.program_folder.join(name).display()
+            ));
         }
     }
     Ok(())
@@ -211,11 +217,14 @@
         let seeds: Vec<String> = machines[..CONTROL_NODES].to_vec();
         let settings_text = |index: usize, disk: bool| {
             let zone = ZONES[index % ZONES.len()];
-            settings(&format!("m{index}"), &machines[index], zone, &seeds, platform, disk)
+            settings_file(&format!("m{index}"), &machines[index], zone, &seeds, platform, disk)
                 + "[resilience]\nmachine_losses = 1\n[zones]\nnorth = \"all\"\nmid = \"all\"\nsouth = \"all\"\n"
         };
-        let launch_config =
-            |program: &str, name: String, settings| Launch { name, program: soak.bins.join(program), settings };
+        let launch_config = |program: &str, name: String, settings| Launch {
+            name,
+            program: soak.program_folder.join(program),
+            settings,
+        };
         let control_node_processes =
             (0..CONTROL_NODES).map(|index| launch_config("hub", format!("m{index}-hub"), settings_text(index, true)));
         let node_processes =
@@ -232,30 +241,31 @@
                 )
             })
             .collect();
-        let store = Bank::new(&groups);
-        let mut tasks = vec![env.spawn(duty(env.clone(), store.clone(), platform, Duration::from_millis(300)))];
+        let store = ReplicatedStore::new(&groups);
+        let mut tasks =
+            vec![env.spawn(serve_promotions(env.clone(), store.clone(), platform, Duration::from_millis(300)))];
         let mut servers = Vec::new();
         for (group_index, (group, names)) in groups.iter().enumerate() {
             for (index, name) in names.iter().enumerate() {
-                let setup = Setup {
+                let setup = ServerConfig {
                     name: name.clone(),
                     group: group.clone(),
-                    area: ZONES[(group_index + index) % ZONES.len()].into(),
+                    zone: ZONES[(group_index + index) % ZONES.len()].into(),
                     addr: address(&network.ip(nodes + 1 + servers.len()), SERVER_PORT),
                     nodes: control_points.clone(),
-                    cap: 200,
-                    work: Duration::from_millis(3),
-                    lag: Duration::from_millis(10),
+                    max_sessions: 200,
+                    processing_time: Duration::from_millis(3),
+                    apply_delay: Duration::from_millis(10),
                 };
                 tasks.push(env.spawn(serve(env.clone(), store.clone(), setup)));
                 servers.push(name.clone());
             }
         }
         let access_points: Vec<SocketAddr> = machines.iter().map(|ip| address(ip, ACCESS_PORT)).collect();
-        let plan = |group: &(String, Vec<String>)| Plan {
-            name: format!("db-{}", group.0),
+        let plan = |group: &(String, Vec<String>)| Workload {
+            database: format!("db-{}", group.0),
             group: group.0.clone(),
-            stale: None,
+            max_staleness: None,
             nodes: access_points.clone(),
             pause: Duration::from_millis(100),
             until: Duration::MAX,
@@ -281,10 +291,10 @@
     }
 
     /// Detects processes that ended, and starts them again after a random delay.
-    fn restart_exited(&mut self, random: &Dice) -> Result<(), String> {
+    fn restart_exited(&mut self, random: &SeededRandom) -> Result<(), String> {
         let now = self.env.now();
         for process in &mut self.processes {
-            process.poll_exit(now, random.span(MAX_RESTART_DELAY));
+            process.poll_exit(now, random.duration_up_to(MAX_RESTART_DELAY));
             if process.restart_at.is_some_and(|at| now >= at) {
                 process.start(now).map_err(|e| format!("{}: {e}", process.name()))?;
             }
@@ -301,20 +311,22 @@
             }
         };
         match action {
-            Action::Term(process) => signal(process, Fact::Term),
-            Action::Hup(process) => signal(process, Fact::Hup),
-            Action::Stop(process) => signal(process, Fact::Stop),
-            Action::Cont(process) => signal(process, Fact::Cont),
-            Action::Kill(process) => signal(process, Fact::Kill),
+            Action::Term(process) => signal(process, ProcessEvent::Term),
+            Action::Hup(process) => signal(process, ProcessEvent::Hup),
+            Action::Stop(process) => signal(process, ProcessEvent::Stop),
+            Action::Cont(process) => signal(process, ProcessEvent::Cont),
+            Action::Kill(process) => signal(process, ProcessEvent::Kill),
             Action::AddRoutes(count) => drop(operator.unbounded_send(Task::AddRoutes(count))),
             Action::ConcurrentPair => drop(operator.unbounded_send(Task::ConcurrentPair)),
             Action::Drain(server) => drop(
-                self.servers.get(server).map(|name| self.store.copy(name, |server_state| server_state.draining = true)),
+                self.servers
+                    .get(server)
+                    .map(|name| self.store.with_replica(name, |server_state| server_state.draining = true)),
             ),
             Action::EndDrain(server) => drop(
                 self.servers
                     .get(server)
-                    .map(|name| self.store.copy(name, |server_state| server_state.draining = false)),
+                    .map(|name| self.store.with_replica(name, |server_state| server_state.draining = false)),
             ),
         }
     }
@@ -322,20 +334,20 @@
     /// Resumes every process, so that nothing is suspended in the last seconds.
     fn resume_all(&mut self) {
         let now = self.env.now();
-        self.processes.iter_mut().for_each(|process| process.signal(now, Fact::Cont));
+        self.processes.iter_mut().for_each(|process| process.signal(now, ProcessEvent::Cont));
     }
 
     /// The histories of all processes, those of the control nodes first.
     fn histories(&mut self) -> Vec<History> {
         self.processes.iter_mut().for_each(Process::note_memory);
-        let history = |p: &Process| History { name: p.name().into(), facts: p.facts.clone(), peak_kb: p.peak_kb };
+        let history = |p: &Process| History { name: p.name().into(), events: p.facts.clone(), peak_kb: p.peak_kb };
         self.processes.iter().map(history).collect()
     }
 }
 
 /// Waits until a node answers statements; returns false after the start timeout.
 async fn wait_until_serving(env: &Env, node: SocketAddr, database: &str) -> bool {
-    let clients = Callers::new(env, vec![node], vec![database.into()], Duration::ZERO);
+    let clients = IdleClients::new(env, vec![node], vec![database.into()], Duration::ZERO);
     let deadline = env.now() + START_TIMEOUT;
     while env.now() < deadline {
         if clients.can_write(node, database).await {
@@ -352,7 +364,7 @@
 impl BusyProcesses {
     fn start(soak: &Soak) -> Result<Self, String> {
         let spawn_process = |_| {
-            std::process::Command::new(soak.bins.join("kit"))
+            std::process::Command::new(soak.program_folder.join("kit"))
                 .args(["sim", "--seeds", "1..100000"])
                 .stdin(std::process::Stdio::null())
                 .stdout(std::process::Stdio::null())
@@ -360,7 +372,7 @@
                 .spawn()
                 .map_err(|e| format!("cannot start a process that uses processor time: {e}"))
         };
-        (0..soak.busy).map(spawn_process).collect::<Result<Vec<_>, _>>().map(Self)
+        (0..soak.busy_processes).map(spawn_process).collect::<Result<Vec<_>, _>>().map(Self)
     }
 }
 
@@ -384,7 +396,7 @@
         return Err("the first configuration was not accepted".into());
     }
     for node in fleet.access_points.clone() {
-        if !wait_until_serving(env, node, &fleet.plans[0].name).await {
+        if !wait_until_serving(env, node, &fleet.plans[0].database).await {
             return Err(format!("{node} does not serve within {START_TIMEOUT:?}"));
         }
     }
@@ -393,18 +405,18 @@
         control_nodes: CONTROL_NODES,
         processes: soak.processes,
         servers: fleet.servers.len(),
-        span: soak.span,
+        duration: soak.duration,
     };
-    let script = soak.script.clone().unwrap_or_else(|| draw(soak.seed, extent));
+    let script = soak.script.clone().unwrap_or_else(|| generate(soak.seed, extent));
     let start = env.now();
-    let end = start + soak.span + SETTLE_TIME;
-    let databases = fleet.plans.iter().map(|plan| plan.name.clone()).collect();
-    let clients = Callers::new(env, fleet.access_points.clone(), databases, end);
+    let end = start + soak.duration + SETTLE_TIME;
+    let databases = fleet.plans.iter().map(|plan| plan.database.clone()).collect();
+    let clients = IdleClients::new(env, fleet.access_points.clone(), databases, end);
     let mut guards: Vec<TaskGuard> =
-        (0..soak.callers as u64).map(|n| env.spawn(clients.clone().run(soak.seed << 20 | n))).collect();
-    let ledger = Rc::new(Ledger::default());
+        (0..soak.clients as u64).map(|n| env.spawn(clients.clone().run(soak.seed << 20 | n))).collect();
+    let ledger = Rc::new(ClientHistory::default());
     for plan in &fleet.plans {
-        guards.push(env.spawn(drive(env.clone(), ledger.clone(), Plan { until: end, ..plan.clone() })));
+        guards.push(env.spawn(run_client(env.clone(), ledger.clone(), Workload { until: end, ..plan.clone() })));
     }
     let orders = Rc::new(OrderRecord::default());
     orders.newest_acknowledged.set(3);
@@ -427,7 +439,7 @@
     let final_version = if interrupted { Some(0) } else { reader.read_newest().await };
     let mut histories = fleet.histories();
     let nodes = histories.split_off(CONTROL_NODES);
-    let mut verdict = judge(&clients.statements.borrow(), &nodes, &histories, RULES, env.now());
+    let mut verdict = check(&clients.statements.borrow(), &nodes, &histories, RULES, env.now());
     verdict.findings.extend(ledger.findings(&fleet.store));
     verdict.findings.extend(orders.findings.borrow().iter().cloned());
     if final_version.is_none() {
@@ -437,7 +449,7 @@
     if let Some(count) = connections.get("an answer to nothing") {
         verdict.findings.push(format!("{count} answers without a request"));
     }
-    Ok(Report { verdict, script, connections, orders, good: ledger.good.get(), interrupted })
+    Ok(Report { verdict, script, connections, orders, good: ledger.succeeded.get(), interrupted })
 }
 
 /// Runs the script until `end`; returns whether it was interrupted.
@@ -449,12 +461,12 @@
     start: Duration,
     end: Duration,
     tasks: &mpsc::UnboundedSender<Task>,
-    clients: &Callers,
+    clients: &IdleClients,
     progress: &impl Fn(String),
 ) -> Result<bool, String> {
     let env = fleet.env.clone();
-    let random = Dice::new(!soak.seed);
-    let mut termination = pin!(Signals::new().await.end());
+    let random = SeededRandom::new(!soak.seed);
+    let mut termination = pin!(Signals::new().await.wait_for_stop());
     let mut pending = script.iter().peekable();
     let next_progress = Cell::new(start + PROGRESS_INTERVAL);
     while env.now() < end {
--- a/kit/src/soak/operator.rs
+++ b/kit/src/soak/operator.rs
@@ -5,7 +5,7 @@
 
 use base::Env;
 use futures::{StreamExt, channel::mpsc};
-use platform::stand::{Order, Plan, read_back};
+use platform::stand_in::{Order, Workload, read_back};
 
 /// Timeout of one request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
     pub env: Env,
     /// Operator endpoints of the control nodes.
     pub control: Vec<SocketAddr>,
-    pub plans: Vec<Plan>,
+    pub plans: Vec<Workload>,
     pub orders: Rc<OrderRecord>,
 }
 
@@ -95,9 +95,9 @@
 
     fn build_order(&self, routes: usize, base_version: u64, number: u64, mark: &str) -> Order {
         let mut plans = self.plans.clone();
-        let added_routes = (0..routes).map(|n| Plan { name: format!("more{n}"), ..self.plans[0].clone() });
+        let added_routes = (0..routes).map(|n| Workload { database: format!("more{n}"), ..self.plans[0].clone() });
         plans.extend(added_routes);
-        Order::whole(&plans, base_version, number, mark)
+        Order::replacement(&plans, base_version, number, mark)
     }
 
     async fn submit(&self, order: &Order, first_node: usize) -> OrderOutcome {
--- a/kit/src/soak/processes.rs
+++ b/kit/src/soak/processes.rs
@@ -12,7 +12,7 @@
 
 /// An event in the history of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fact {
+pub enum ProcessEvent {
     Started,
     /// SIGTERM was sent.
     Term,
@@ -45,7 +45,7 @@
     /// When the process is to be started again, if it ended.
     pub restart_at: Option<Duration>,
     /// The events with their times.
-    pub facts: Vec<(Duration, Fact)>,
+    pub facts: Vec<(Duration, ProcessEvent)>,
     /// Peak memory over all runs of the process, in kilobytes.
     pub peak_kb: u64,
 }
@@ -72,26 +72,26 @@
         let log = File::options().create(true).append(true).open(self.folder.join("log"))?;
         let child = Command::new(&self.launch.program)
             .current_dir(&self.folder)
-            .env(platform::VARIABLE, self.folder.join("settings.toml"))
+            .env(platform::SETTINGS_PATH_VARIABLE, self.folder.join("settings.toml"))
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
         self.restart_at = None;
-        self.facts.push((now, Fact::Started));
+        self.facts.push((now, ProcessEvent::Started));
         Ok(())
     }
 
     /// Sends the signal of `fact`, if the process is running and `fact` is a signal.
-    pub fn signal(&mut self, now: Duration, fact: Fact) {
+    pub fn signal(&mut self, now: Duration, fact: ProcessEvent) {
         let signal = match fact {
-            Fact::Term => Signal::TERM,
-            Fact::Hup => Signal::HUP,
-            Fact::Stop => Signal::STOP,
-            Fact::Cont => Signal::CONT,
-            Fact::Kill => Signal::KILL,
-            Fact::Started | Fact::Ended(_) => return,
+            ProcessEvent::Term => Signal::TERM,
+            ProcessEvent::Hup => Signal::HUP,
+            ProcessEvent::Stop => Signal::STOP,
+            ProcessEvent::Cont => Signal::CONT,
+            ProcessEvent::Kill => Signal::KILL,
+            ProcessEvent::Started | ProcessEvent::Ended(_) => return,
         };
         let Some(pid) = self.child.as_ref().and_then(|c| Pid::from_raw(c.id() as i32)) else { return };
         self.note_memory();
@@ -114,7 +114,7 @@
         let Some(child) = &mut self.child else { return };
         if let Ok(Some(status)) = child.try_wait() {
             self.child = None;
-            self.facts.push((now, Fact::Ended(status.code().filter(|_| status.signal().is_none()))));
+            self.facts.push((now, ProcessEvent::Ended(status.code().filter(|_| status.signal().is_none()))));
             self.restart_at = Some(now + pause);
         }
     }
--- a/kit/src/soak/script.rs
+++ b/kit/src/soak/script.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, str::FromStr, time::Duration};
 
-use platform::stand::Dice;
+use platform::stand_in::SeededRandom;
 
 /// An action on the fleet. Processes and servers are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 }
 
 /// Parses a script with one event per line; empty lines and lines that start with `#` are skipped.
-pub fn read(text: &str) -> Result<Vec<Event>, ScriptError> {
+pub fn parse(text: &str) -> Result<Vec<Event>, ScriptError> {
     text.lines().filter(|line| !line.trim().is_empty() && !line.starts_with('#')).map(str::parse).collect()
 }
 
@@ -94,24 +94,24 @@
     pub processes: usize,
     pub servers: usize,
     /// Length of the script.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// Upper limit of the routes that one action adds.
 const MAX_ROUTES: u64 = 2000;
 
 /// Generates a script from a seed. Events come in series, and a series may begin before the one before it has ended.
-pub fn draw(seed: u64, extent: Extent) -> Vec<Event> {
-    let random = Dice::new(seed);
+pub fn generate(seed: u64, extent: Extent) -> Vec<Event> {
+    let random = SeededRandom::new(seed);
     let mut events = Vec::new();
     let mut at = Duration::from_millis(500);
-    while at < extent.span {
+    while at < extent.duration {
         let node = extent.control_nodes + random.below((extent.processes - extent.control_nodes) as u64) as usize;
         let control = random.below(extent.control_nodes as u64) as usize;
         let server = random.below(extent.servers as u64) as usize;
         let process = if random.below(3) == 0 { control } else { node };
-        let soon = at + random.span(Duration::from_millis(400));
-        let later = at + Duration::from_millis(200) + random.span(Duration::from_millis(2500));
+        let soon = at + random.duration_up_to(Duration::from_millis(400));
+        let later = at + Duration::from_millis(200) + random.duration_up_to(Duration::from_millis(2500));
         let mut push = |at, action| events.push(Event { at, action });
         match random.below(12) {
             0..=2 => push(at, Action::Term(node)),
@@ -140,7 +140,7 @@
                 push(later, Action::EndDrain(server));
             }
         }
-        at += random.span(Duration::from_millis(1600));
+        at += random.duration_up_to(Duration::from_millis(1600));
     }
     events.sort_by_key(|event| event.at);
     events
--- a/kit/src/soak/verdict.rs
+++ b/kit/src/soak/verdict.rs
@@ -3,19 +3,19 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use platform::stand::{Outcome, SentStatement};
+use platform::stand_in::{Outcome, SentStatement};
 
-use super::processes::Fact;
+use super::processes::ProcessEvent;
 
 /// The limits that the checks apply.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct Limits {
     /// A request whose connection broke sooner than this after it was sent may not have been read by the node.
-    pub loss_slack: Duration,
+    pub unread_slack: Duration,
     /// For this long after a kill or a suspension, missing answers are excused.
-    pub contact: Duration,
+    pub excuse_after_disturbance: Duration,
     /// A process must end within this time after SIGTERM.
-    pub grace: Duration,
+    pub end_timeout: Duration,
     /// Maximum memory of a process, in kilobytes.
     pub memory_kb: u64,
 }
@@ -25,7 +25,7 @@
 pub struct History {
     pub name: String,
     /// The events with their times, in order.
-    pub facts: Vec<(Duration, Fact)>,
+    pub events: Vec<(Duration, ProcessEvent)>,
     /// Peak memory, in kilobytes.
     pub peak_kb: u64,
 }
@@ -38,11 +38,11 @@
     fn disturbances(&self) -> Vec<(Duration, Duration)> {
         let mut intervals = Vec::new();
         let mut stopped_since = None;
-        for (at, fact) in &self.facts {
+        for (at, fact) in &self.events {
             match fact {
-                Fact::Stop => stopped_since = stopped_since.or(Some(*at)),
-                Fact::Cont => intervals.extend(stopped_since.take().map(|start| (start, *at))),
-                Fact::Kill => intervals.push((*at, *at)),
+                ProcessEvent::Stop => stopped_since = stopped_since.or(Some(*at)),
+                ProcessEvent::Cont => intervals.extend(stopped_since.take().map(|start| (start, *at))),
+                ProcessEvent::Kill => intervals.push((*at, *at)),
                 _ => {}
             }
         }
@@ -55,19 +55,19 @@
         self.disturbances().iter().any(|(begin, end)| *begin <= to && *end >= from)
     }
 
-    fn findings(&self, rules: Rules, end: Duration) -> Vec<String> {
+    fn findings(&self, rules: Limits, end: Duration) -> Vec<String> {
         let mut findings = Vec::new();
         let (mut term_at, mut killed): (Option<Duration>, bool) = (None, false);
         let is_late = |term_at: Duration, at: Duration| {
             let was_disturbed = self.was_disturbed(term_at, at);
-            !was_disturbed && at > term_at + rules.grace + EXIT_DETECTION_SLACK
+            !was_disturbed && at > term_at + rules.end_timeout + EXIT_DETECTION_SLACK
         };
-        for (at, fact) in &self.facts {
+        for (at, fact) in &self.events {
             match fact {
-                Fact::Started => (term_at, killed) = (None, false),
-                Fact::Term => term_at = term_at.or(Some(*at)),
-                Fact::Kill => killed = true,
-                Fact::Ended(code) => {
+                ProcessEvent::Started => (term_at, killed) = (None, false),
+                ProcessEvent::Term => term_at = term_at.or(Some(*at)),
+                ProcessEvent::Kill => killed = true,
+                ProcessEvent::Ended(code) => {
                     if term_at.is_none() && !killed {
                         findings.push(format!("{} ended unexpectedly at {at:?} with {code:?}", self.name));
                     } else if !killed && *code != Some(0) {
@@ -77,10 +77,10 @@
                         findings.push(format!("{} ended too late: SIGTERM at {term_at:?}, ended at {at:?}", self.name));
                     }
                 }
-                Fact::Hup | Fact::Stop | Fact::Cont => {}
+                ProcessEvent::Hup | ProcessEvent::Stop | ProcessEvent::Cont => {}
             }
         }
-        let ended = self.facts.last().is_some_and(|(_, fact)| matches!(fact, Fact::Ended(_)));
+        let ended = self.events.last().is_some_and(|(_, fact)| matches!(fact, ProcessEvent::Ended(_)));
         if let Some(term_at) = term_at.filter(|term_at| !ended && !killed && is_late(*term_at, end)) {
             findings.push(format!("{} has not ended: SIGTERM at {term_at:?}, still running at {end:?}", self.name));
         }
@@ -101,31 +101,31 @@
 
 /// Checks the clients' statements against the histories of the processes. `nodes` holds the histories of the nodes, by
 /// machine index; `others` those of the other processes. `end` is the time at which the run ended.
-pub fn judge(
+pub fn check(
     statements: &[SentStatement],
     nodes: &[History],
     others: &[History],
-    rules: Rules,
+    rules: Limits,
     end: Duration,
 ) -> Verdict {
     let mut verdict = Verdict::default();
     for statement in statements {
         let SentStatement { machine, sent, ended, outcome } = statement;
         let node = &nodes[*machine];
-        let is_excused = node.was_disturbed(sent.saturating_sub(rules.contact), *ended);
-        let within_slack = *ended < *sent + rules.loss_slack;
+        let is_excused = node.was_disturbed(sent.saturating_sub(rules.excuse_after_disturbance), *ended);
+        let within_slack = *ended < *sent + rules.unread_slack;
         let (label, is_finding) = match outcome {
             Outcome::Answered(answer) => (answer.clone(), false),
-            Outcome::Cut if is_excused => ("cut near a kill or a suspension".into(), false),
-            Outcome::Cut if within_slack => ("cut too soon to have been read".into(), false),
-            Outcome::Cut => ("CUT WITH NO ANSWER".into(), true),
-            Outcome::Silence if is_excused => ("silence near a kill or a suspension".into(), false),
-            Outcome::Silence => ("SILENCE".into(), true),
-            Outcome::Odd(text) => (format!("ODD {text}"), true),
+            Outcome::Disconnected if is_excused => ("cut near a kill or a suspension".into(), false),
+            Outcome::Disconnected if within_slack => ("cut too soon to have been read".into(), false),
+            Outcome::Disconnected => ("CUT WITH NO ANSWER".into(), true),
+            Outcome::TimedOut if is_excused => ("silence near a kill or a suspension".into(), false),
+            Outcome::TimedOut => ("SILENCE".into(), true),
+            Outcome::Unexpected(text) => (format!("ODD {text}"), true),
         };
         if is_finding {
             let facts: Vec<String> = node
-                .facts
+                .events
                 .iter()
                 .filter(|(at, _)| *at + Duration::from_secs(10) > *sent && *at < *ended + Duration::from_secs(1))
                 .map(|(at, fact)| format!("{at:?} {fact:?}"))
--- a/kit/src/tool/ops.rs
+++ b/kit/src/tool/ops.rs
@@ -60,7 +60,7 @@
     let (method, path, body) = request(&args.word, args.of.as_deref());
     let env = boot::system_env(None);
     let timeout = Duration::from_secs(5);
-    match base::http::Client::once(&env, args.node, method, &path, &[], body.into(), timeout).await {
+    match base::http::Client::connect_and_call(&env, args.node, method, &path, &[], body.into(), timeout).await {
         Ok(response) => print_response(response),
         Err(e) => {
             eprintln!("{}: {e}", args.node);
--- a/kit/src/tool/sim.rs
+++ b/kit/src/tool/sim.rs
@@ -2,7 +2,7 @@
 
 use std::process::exit;
 
-use kit::sim::Draw;
+use kit::sim::FaultSelection;
 
 use super::{args::SimArgs, usage_error};
 
@@ -21,17 +21,17 @@
     let (mut runs_with_findings, mut share_during, mut share_after, mut max_recovery_s, mut runs) =
         (0, 0.0, 0.0, 0, 0.0);
     if args.kinds {
-        kit::sim::KINDS.iter().for_each(|(kind, floor)| println!("{kind:<20} {floor} %"));
+        kit::sim::FAULT_KINDS.iter().for_each(|(kind, floor)| println!("{kind:<20} {floor} %"));
         return;
     }
     let known_kind = |kind: &str| {
-        let found = kit::sim::KINDS.iter().find(|x| x.0 == kind);
+        let found = kit::sim::FAULT_KINDS.iter().find(|x| x.0 == kind);
         found.map(|x| x.0).unwrap_or_else(|| usage_error(format!("--only {kind:?}: no such kind; see --kinds")))
     };
-    let draws: Vec<Draw> = match (&args.only, args.pairs) {
+    let draws: Vec<FaultSelection> = match (&args.only, args.pairs) {
         (Some(kinds), _) => match kinds.split_once('+') {
-            Some((one, other)) => vec![Draw::Pair(known_kind(one), known_kind(other))],
-            None => vec![Draw::Only(known_kind(kinds))],
+            Some((one, other)) => vec![FaultSelection::Pair(known_kind(one), known_kind(other))],
+            None => vec![FaultSelection::Only(known_kind(kinds))],
         },
         (None, true) => {
             let part =
@@ -39,12 +39,12 @@
             let Some((rest, parts)) = part.filter(|p| p.1 > 0) else {
                 usage_error(format!("--part {:?}: REST/PARTS", args.part))
             };
-            let names = kit::sim::KINDS.map(|k| k.0);
+            let names = kit::sim::FAULT_KINDS.map(|k| k.0);
             let pairs = (0..names.len()).flat_map(|i| (i + 1..names.len()).map(move |j| (i, j)));
             let pairs = pairs.enumerate().filter(|(n, _)| n % parts == rest);
-            pairs.map(|(_, (i, j))| Draw::Pair(names[i], names[j])).collect()
+            pairs.map(|(_, (i, j))| FaultSelection::Pair(names[i], names[j])).collect()
         }
-        (None, false) => vec![Draw::Any],
+        (None, false) => vec![FaultSelection::Any],
     };
     let timeline = args
         .timeline
@@ -52,49 +52,49 @@
         .map(|p| std::fs::read_to_string(p).unwrap_or_else(|e| usage_error(format!("{}: {e}", p.display()))));
     for seed in first..=last {
         if let Some(timeline) = &timeline {
-            let scene = kit::sim::play(seed, disabled_guards, timeline);
+            let scene = kit::sim::run_timeline(seed, disabled_guards, timeline);
             if args.log {
-                print!("{}", kit::sim::drawn(&scene.town));
+                print!("{}", kit::sim::formatted_log(&scene.deployment));
             }
             if args.events {
-                scene.town.history.events.borrow().iter().for_each(|e| println!("{e:?}"));
+                scene.deployment.history.requests.borrow().iter().for_each(|e| println!("{e:?}"));
             }
-            print!("seed {seed}: {}", scene.town.report().text());
+            print!("seed {seed}: {}", scene.deployment.report().text());
             runs_with_findings += u64::from(!scene.findings.is_empty());
             continue;
         }
         for draw in &draws {
-            let outcome = kit::sim::swarm(seed, disabled_guards, *draw);
+            let outcome = kit::sim::run_randomized(seed, disabled_guards, *draw);
             if args.log {
-                print!("{}", kit::sim::drawn(&outcome.town));
+                print!("{}", kit::sim::formatted_log(&outcome.deployment));
             }
             if args.events {
-                outcome.town.history.events.borrow().iter().for_each(|e| println!("{e:?}"));
+                outcome.deployment.history.requests.borrow().iter().for_each(|e| println!("{e:?}"));
             }
-            let operator_history = &outcome.town.words;
+            let operator_history = &outcome.deployment.operator_history;
             println!(
                 "seed {seed} {draw:?}: during faults {:.1} %, after {:.1} %, recovered in {} s, trace {:016x}, \
                  configurations {}, conflicts {}, refused {}, observations {}, evacuations {}",
-                outcome.during * 100.0,
-                outcome.after * 100.0,
-                outcome.back,
-                outcome.trace,
-                operator_history.acked.get(),
+                outcome.served_during_faults * 100.0,
+                outcome.served_after_recovery * 100.0,
+                outcome.recovery_s,
+                outcome.trace_hash,
+                operator_history.acknowledged.get(),
                 operator_history.conflicts.get(),
                 operator_history.refused.get(),
-                operator_history.sights.borrow().len(),
-                operator_history.emptied.borrow().len()
+                operator_history.observations.borrow().len(),
+                operator_history.evacuations.borrow().len()
             );
-            for reason in outcome.town.report().whys {
+            for reason in outcome.deployment.report().whys {
                 *reasons.entry(reason.why).or_default() += reason.count;
             }
-            share_during += outcome.during;
-            share_after += outcome.after;
-            max_recovery_s = max_recovery_s.max(outcome.back);
+            share_during += outcome.served_during_faults;
+            share_after += outcome.served_after_recovery;
+            max_recovery_s = max_recovery_s.max(outcome.recovery_s);
             runs += 1.0;
             if !outcome.findings.is_empty() {
                 runs_with_findings += 1;
-                outcome.script.iter().for_each(|step| println!("  action {step}"));
+                outcome.injected_faults.iter().for_each(|step| println!("  action {step}"));
                 outcome.findings.iter().for_each(|finding| println!("  FINDING {finding}"));
             }
         }
--- a/kit/src/tool/soak.rs
+++ b/kit/src/tool/soak.rs
@@ -13,7 +13,7 @@
 fn script(args: &SoakArgs) -> Option<Vec<soak::Event>> {
     let path = args.script.as_ref()?;
     let text = std::fs::read_to_string(path).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display())));
-    Some(soak::read(&text).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display()))))
+    Some(soak::parse(&text).unwrap_or_else(|e| usage_error(format!("{}: {e}", path.display()))))
 }
 
 /// Runs one soak test and prints its report. Exits with status 1 if there are findings, with 2 if the test cannot be
@@ -27,13 +27,13 @@
     let folder = args.folder.clone().unwrap_or_else(|| std::env::temp_dir().join(folder_name));
     let run = Soak {
         seed: args.seed,
-        span: Duration::from_secs_f64(args.seconds),
+        duration: Duration::from_secs_f64(args.seconds),
         processes: args.processes,
-        callers: args.callers,
-        busy: args.busy,
+        clients: args.callers,
+        busy_processes: args.busy,
         script: script(args),
         folder: folder.clone(),
-        bins: program_folder,
+        program_folder,
     };
     let report = match soak::run(&boot::system_env(None), &run, |line| println!("{line}")).await {
         Ok(report) => report,
--- a/kit/tests/answers.rs
+++ b/kit/tests/answers.rs
@@ -8,7 +8,7 @@
     http::{Client, HttpResponse},
 };
 use bytes::Bytes;
-use kit::sim::{Build, Town, act};
+use kit::sim::{Deployment, DeploymentOptions, apply_action};
 
 fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
@@ -16,10 +16,10 @@
 
 /// Sends each request (method, path, body) over one connection to the first node and returns the responses in order. The
 /// path `wait` sends nothing and pauses for 11 s.
-fn send_requests(deployment: &Rc<Town>, requests: &[(&'static str, &'static str, Vec<u8>)]) -> Vec<HttpResponse> {
-    let (env, addr) = (deployment.desk(), deployment.layout.spokes[0].http);
+fn send_requests(deployment: &Rc<Deployment>, requests: &[(&'static str, &'static str, Vec<u8>)]) -> Vec<HttpResponse> {
+    let (env, addr) = (deployment.client_env(), deployment.layout.nodes[0].http);
     let requests = requests.to_vec();
-    let out = deployment.at_desk(secs(60), async move {
+    let out = deployment.run_on_client_host(secs(60), async move {
         let mut connection = Client::connect(&env, addr, secs(1), 1 << 24).await.unwrap();
         let mut out = Vec::new();
         for (method, path, body) in requests {
@@ -59,9 +59,9 @@
 
 #[test]
 fn invalid_requests_get_the_documented_error() {
-    let deployment = Town::new(1, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(1, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let cases: Vec<(&str, &str, Vec<u8>, &str)> = vec![
         ("POST", "/db/none/read", add("k"), "404 no-database"),
         ("POST", "/db/pay/frobnicate", add("k"), "404 no-path"),
@@ -96,9 +96,9 @@
 /// A transaction that is idle past the operator's limit is rolled back, and the client gets one error for it.
 #[test]
 fn an_idle_transaction_is_ended_and_its_client_notified() {
-    let deployment = Town::new(2, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(2, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let requests = [
         ("POST", "/db/pay/begin", Vec::new()),
         ("POST", "/db/pay/write", add("idle")),
@@ -111,7 +111,7 @@
     let names: Vec<String> = out.iter().map(name).collect();
     assert_eq!(names, ["200", "200", "503 lost", "200", "409 order"]);
     assert_eq!(out[2].header(client::WRITE_OUTCOME_HEADER), Some("no"));
-    let primary = deployment.leader("g1").unwrap();
+    let primary = deployment.primary("g1").unwrap();
     let entries = deployment.servers.borrow()[&primary].entries();
     let keys: Vec<String> = entries.iter().flat_map(|e| e.ops.iter().map(|o| o.key.clone())).collect();
     assert_eq!(keys, ["alone"]);
@@ -121,9 +121,9 @@
 /// a retry time and the outcome "not committed".
 #[test]
 fn what_cannot_be_served_is_refused_at_once_with_retry_after() {
-    let deployment = Town::new(3, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(3, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let assert_refused = |want: &str| {
         let start = Rc::new(RefCell::new(deployment.sim.now()));
         let out = send_requests(&deployment, &[("POST", "/db/pay/write", add("k"))]);
@@ -131,29 +131,29 @@
         assert!(out[0].header("retry-after").is_some() && out[0].header(client::WRITE_OUTCOME_HEADER) == Some("no"));
         assert!(deployment.sim.now() - *start.borrow() < Duration::from_millis(100), "{want} was delayed");
     };
-    ["g1-a", "g1-b", "g1-c"].iter().for_each(|s| act(&deployment, s, "dark"));
-    deployment.sim.pass(secs(6));
+    ["g1-a", "g1-b", "g1-c"].iter().for_each(|s| apply_action(&deployment, s, "dark"));
+    deployment.sim.run_for(secs(6));
     assert_refused("503 no-leader");
-    deployment.mend();
-    deployment.sim.pass(secs(8));
-    act(&deployment, "north", "empty");
-    deployment.sim.pass(secs(1));
+    deployment.end_all_faults();
+    deployment.sim.run_for(secs(8));
+    apply_action(&deployment, "north", "empty");
+    deployment.sim.run_for(secs(1));
     assert_refused("503 emptied");
-    act(&deployment, "north", "back");
-    deployment.sim.pass(secs(3));
-    ["h1", "h2", "h3"].iter().for_each(|h| act(&deployment, h, "dark"));
-    deployment.sim.pass(secs(4));
+    apply_action(&deployment, "north", "back");
+    deployment.sim.run_for(secs(3));
+    ["h1", "h2", "h3"].iter().for_each(|h| apply_action(&deployment, h, "dark"));
+    deployment.sim.run_for(secs(4));
     assert_refused("503 unconfirmed");
 }
 
 /// With the maximum number of connections open at a node, one more is refused with a retry time.
 #[test]
 fn a_session_over_the_limit_is_refused_and_the_others_are_not() {
-    let deployment = Town::new(4, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
-    let (env, addr) = (deployment.desk(), deployment.layout.spokes[0].http);
-    let out = deployment.at_desk(secs(120), async move {
+    let deployment = Deployment::new(4, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
+    let (env, addr) = (deployment.client_env(), deployment.layout.nodes[0].http);
+    let out = deployment.run_on_client_host(secs(120), async move {
         let mut connections = Vec::new();
         for _ in 0..4000 {
             connections.push(Client::connect(&env, addr, secs(1), 1 << 20).await.unwrap());
@@ -173,9 +173,9 @@
 /// Session values beyond the limits for their number and their total size are refused.
 #[test]
 fn session_state_is_bounded() {
-    let deployment = Town::new(5, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(5, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let set = |size: usize| format!("{{\"op\":\"set\",\"key\":\"k\",\"val\":\"{}\"}}", "x".repeat(size)).into_bytes();
     let many: Vec<_> = (0..66).map(|_| ("POST", "/db/pay/set", set(1))).collect();
     let out = send_requests(&deployment, &many);
@@ -194,10 +194,10 @@
 }
 
 /// Sends one request with these headers over a new connection.
-fn send_with_headers(deployment: &Rc<Town>, path: &str, headers: &[(&'static str, String)]) -> HttpResponse {
-    let (env, addr) = (deployment.desk(), deployment.layout.spokes[0].http);
+fn send_with_headers(deployment: &Rc<Deployment>, path: &str, headers: &[(&'static str, String)]) -> HttpResponse {
+    let (env, addr) = (deployment.client_env(), deployment.layout.nodes[0].http);
     let (path, headers) = (format!("/db/{path}"), headers.to_vec());
-    let out = deployment.at_desk(secs(10), async move {
+    let out = deployment.run_on_client_host(secs(10), async move {
         let mut connection = Client::connect(&env, addr, secs(1), 1 << 20).await.unwrap();
         connection
             .call("POST", &path, &headers, Bytes::from_static(b"{\"op\":\"get\",\"key\":\"k\"}"), secs(8))
@@ -209,9 +209,9 @@
 
 #[test]
 fn invalid_headers_get_the_documented_error() {
-    let deployment = Town::new(6, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(6, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let cases = [
         (client::TIMEOUT_HEADER, "soon", "400 malformed"),
         (client::TIMEOUT_HEADER, "-1", "400 malformed"),
@@ -237,15 +237,15 @@
 /// which holds all entries, serves it.
 #[test]
 fn a_token_beyond_every_position_is_served_by_the_primary_at_once() {
-    let deployment = Town::new(7, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(7, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     for token in ["999.1", "1.999999", "18446744073709551615.0", "1.1!"] {
         let start = deployment.sim.now();
         let out = send_with_headers(&deployment, "hours/read", &[(client::TOKEN_HEADER, token.into())]);
         assert_eq!(
             (out.status, out.header(client::SERVER_HEADER)),
-            (200, deployment.leader("g3").as_deref()),
+            (200, deployment.primary("g3").as_deref()),
             "{token}"
         );
         assert!(deployment.sim.now() - start < Duration::from_millis(100), "{token} was delayed");
@@ -255,9 +255,9 @@
 /// A report with a known server name but another address is refused while the server at the known address responds.
 #[test]
 fn a_name_in_use_is_refused_at_another_address() {
-    let deployment = Town::new(8, Build::default());
-    deployment.settle(secs(30)).unwrap();
-    deployment.sim.pass(secs(2));
+    let deployment = Deployment::new(8, DeploymentOptions::default());
+    deployment.configure_and_wait(secs(30)).unwrap();
+    deployment.sim.run_for(secs(2));
     let report = |addr: &str| {
         let text = format!(
             "{{\"server\":\"g1-b\",\"area\":\"mid\",\"addr\":\"{addr}\",\"leads\":false,\"draining\":false,\"cold\":0,\"line\":1,\"index\":0}}"
@@ -266,7 +266,7 @@
     };
     assert_eq!(report("127.9.9.9:1"), "422 invalid");
     assert_eq!(report("nowhere"), "422 invalid");
-    act(&deployment, "g1-b", "dark");
-    deployment.sim.pass(secs(4));
+    apply_action(&deployment, "g1-b", "dark");
+    deployment.sim.run_for(secs(4));
     assert_eq!(report("127.9.9.9:1"), "200", "an unreachable server may return at a new address");
 }
--- a/kit/tests/duty.rs
+++ b/kit/tests/duty.rs
@@ -3,8 +3,8 @@
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-use kit::sim::{Hall, HallBuild};
-use platform::stand::Naming;
+use kit::sim::{PlatformDeployment, PlatformDeploymentOptions};
+use platform::stand_in::PromotionCall;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
 
@@ -47,17 +47,17 @@
 }
 
 /// Runs the timeline on a settled deployment; returns it with the start time of the timeline.
-fn play(seed: u64, build: HallBuild) -> (Rc<Hall>, Duration) {
-    let deployment = Hall::new(seed, build);
-    deployment.settle();
+fn play(seed: u64, build: PlatformDeploymentOptions) -> (Rc<PlatformDeployment>, Duration) {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.configure_and_wait();
     let start = deployment.sim.now();
-    deployment.play_at_once(&timeline());
+    deployment.run_timeline_when_configured(&timeline());
     (deployment, start)
 }
 
 /// Pairs of promotions of one group by two holders within `ONE_HOLDER`, where the first holder was not partitioned when
 /// the second promotion came.
-fn overlapping_holders(deployment: &Hall, start: Duration) -> Vec<(Naming, Naming)> {
+fn overlapping_holders(deployment: &PlatformDeployment, start: Duration) -> Vec<(PromotionCall, PromotionCall)> {
     let was_partitioned = |holder: &str, at: Duration| {
         let own = CONTROL_NODES.iter().find(|(_, machine)| holder.starts_with(machine)).map(|(name, _)| *name);
         let partitions = PARTITIONS.iter().filter(|(_, name)| Some(*name) == own);
@@ -67,9 +67,9 @@
         };
         partitions.into_iter().any(|(begin, _)| during(*begin))
     };
-    let mut last: BTreeMap<String, Naming> = BTreeMap::new();
+    let mut last: BTreeMap<String, PromotionCall> = BTreeMap::new();
     let mut out = Vec::new();
-    for promotion in deployment.bank.namings.borrow().iter() {
+    for promotion in deployment.store.promotion_calls.borrow().iter() {
         let before = last.insert(promotion.group.clone(), promotion.clone());
         let Some(before) = before.filter(|b| b.holder != promotion.holder) else { continue };
         if promotion.at < before.at + ONE_HOLDER && !was_partitioned(&before.holder, promotion.at) {
@@ -83,16 +83,16 @@
 fn two_healthy_control_nodes_never_promote_within_the_same_bound() {
     let mut promotions = 0;
     for seed in SEEDS {
-        let (deployment, start) = play(seed, HallBuild::default());
+        let (deployment, start) = play(seed, PlatformDeploymentOptions::default());
         let found = overlapping_holders(&deployment, start);
-        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.drawn());
+        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.formatted_log());
         assert!(deployment.findings().is_empty(), "seed {seed}: {:?}", deployment.findings());
-        promotions += deployment.bank.namings.borrow().len();
+        promotions += deployment.store.promotion_calls.borrow().len();
     }
     assert!(promotions > 0, "no holder promoted any server");
     let fails_without_guard = |seed| {
-        let mut build = HallBuild::default();
-        build.hub.no_duty_rest = true;
+        let mut build = PlatformDeploymentOptions::default();
+        build.hub.no_promoter_change_pause = true;
         let (deployment, start) = play(seed, build);
         !overlapping_holders(&deployment, start).is_empty()
     };
--- a/kit/tests/elections.rs
+++ b/kit/tests/elections.rs
@@ -4,9 +4,9 @@
 
 use std::rc::Rc;
 
-use kit::sim::{Hall, HallBuild};
+use kit::sim::{PlatformDeployment, PlatformDeploymentOptions};
 
-type Play = fn(u64, HallBuild) -> Rc<Hall>;
+type Play = fn(u64, PlatformDeploymentOptions) -> Rc<PlatformDeployment>;
 
 /// The seeds under which each timeline runs.
 const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
@@ -14,34 +14,34 @@
 /// Asserts that the timeline loses no commit and is served at its end, and that it loses a commit without the guard.
 fn guarded(play: Play) {
     for seed in SEEDS {
-        let deployment = play(seed, HallBuild::default());
+        let deployment = play(seed, PlatformDeploymentOptions::default());
         let found = deployment.findings();
-        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.drawn());
+        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.formatted_log());
         let (last, served) = last_served(&deployment);
-        assert!(served > 0, "seed {seed}: nothing is served at the end, second {last}\n{}", deployment.drawn());
+        assert!(served > 0, "seed {seed}: nothing is served at the end, second {last}\n{}", deployment.formatted_log());
     }
     let loses = |seed: u64| {
-        let mut build = HallBuild::default();
-        build.hub.any_list = true;
+        let mut build = PlatformDeploymentOptions::default();
+        build.hub.any_membership = true;
         play(seed, build).findings().iter().any(|f| f.contains("is lost"))
     };
     assert!(SEEDS.into_iter().any(loses), "no commit was lost without the guard");
 }
 
 /// The last second in which clients sent requests, and the number of requests served in it and the second before.
-fn last_served(deployment: &Hall) -> (u64, u64) {
-    let seconds = deployment.ledger.seconds.borrow();
+fn last_served(deployment: &PlatformDeployment) -> (u64, u64) {
+    let seconds = deployment.ledger.succeeded_by_second.borrow();
     let last = seconds.keys().max().copied().unwrap_or(0);
     (last, seconds.range(last.saturating_sub(1)..).map(|s| s.1).sum())
 }
 
 /// At system start only one replica receives the log. Its heartbeats are delayed, and the primary fails before they
 /// arrive.
-fn delayed_heartbeats(seed: u64, build: HallBuild) -> Rc<Hall> {
-    let deployment = Hall::new(seed, HallBuild { silent: Some("s01"), ..build });
-    deployment.act("s02", "deaf");
-    deployment.open();
-    deployment.play_at_once(
+fn delayed_heartbeats(seed: u64, build: PlatformDeploymentOptions) -> Rc<PlatformDeployment> {
+    let deployment = PlatformDeployment::new(seed, PlatformDeploymentOptions { silent_server: Some("s01"), ..build });
+    deployment.apply_action("s02", "deaf");
+    deployment.configure();
+    deployment.run_timeline_when_configured(
         "at  s00   s01  s02
          2   dark  .    .
          2.5 .     .    hear
@@ -53,10 +53,10 @@
 
 /// A server shuts down in order and is deregistered; a new one starts at the same address with the same log and is not
 /// registered yet when the primary fails.
-fn replaced_at_its_address(seed: u64, build: HallBuild) -> Rc<Hall> {
-    let deployment = Hall::new(seed, build);
-    deployment.settle();
-    deployment.play_at_once(
+fn replaced_at_its_address(seed: u64, build: PlatformDeploymentOptions) -> Rc<PlatformDeployment> {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.configure_and_wait();
+    deployment.run_timeline_when_configured(
         "at  s00   s01    s02
          1   .     drain  .
          5   .     quit   .
@@ -72,10 +72,10 @@
 }
 
 /// A server registers while replication to the registered ones is being suspended before a promotion.
-fn joins_during_an_election(seed: u64, build: HallBuild) -> Rc<Hall> {
-    let deployment = Hall::new(seed, build);
-    deployment.settle();
-    deployment.play_at_once(
+fn joins_during_an_election(seed: u64, build: PlatformDeploymentOptions) -> Rc<PlatformDeployment> {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.configure_and_wait();
+    deployment.run_timeline_when_configured(
         "at   s00   s01    s02
          1    .     drain  .
          5    .     quit   .
@@ -93,10 +93,10 @@
 
 /// The primary is draining, and a replacement of another server receives the log before its first heartbeat: it alone
 /// acknowledges commits while the candidate for the primary role receives nothing.
-fn replacement_while_the_primary_drains(seed: u64, build: HallBuild) -> Rc<Hall> {
-    let deployment = Hall::new(seed, build);
-    deployment.settle();
-    deployment.play_at_once(
+fn replacement_while_the_primary_drains(seed: u64, build: PlatformDeploymentOptions) -> Rc<PlatformDeployment> {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.configure_and_wait();
+    deployment.run_timeline_when_configured(
         "at   s00   s01    s02
          1    .     drain  .
          5    .     quit   .
--- a/kit/tests/fleet.rs
+++ b/kit/tests/fleet.rs
@@ -11,14 +11,14 @@
     let bins = Path::new(env!("CARGO_BIN_EXE_kit")).parent().unwrap().to_path_buf();
     let folder = std::env::temp_dir().join(format!("portspoke-fleet-{}", std::process::id()));
     let run = Run {
-        machines: 9,
-        cap: 80,
+        nodes: 9,
+        max_connections: 80,
         sessions: 60,
         rate: 90.0,
-        span: Duration::from_secs(12),
-        steps: vec![fleet::parse("3:leader=g1").unwrap(), fleet::parse("4:chief").unwrap()],
+        duration: Duration::from_secs(12),
+        steps: vec![fleet::parse_step("3:leader=g1").unwrap(), fleet::parse_step("4:chief").unwrap()],
         folder: folder.clone(),
-        bins,
+        program_folder: bins,
     };
     let out = compio::runtime::Runtime::new().unwrap().block_on(async {
         let env = boot::system_env(None);
--- a/kit/tests/never.rs
+++ b/kit/tests/invariants.rs
@@ -4,7 +4,10 @@
 
 use std::time::Duration;
 
-use kit::sim::{Build, DisabledGuards, Draw, Town, act, drawn, play, swarm};
+use kit::sim::{
+    Deployment, DeploymentOptions, DisabledGuards, FaultSelection, apply_action, formatted_log, run_randomized,
+    run_timeline,
+};
 
 /// Number of seeds that must produce no finding with the guard enabled.
 const CLEAN_SEEDS: u64 = 6;
@@ -14,7 +17,7 @@
 /// Asserts that the timeline violates a property without `guard` and none with it.
 fn guarded(guard: &str, text: &str) {
     let unguarded = DisabledGuards::without(guard).expect("a known guard");
-    let failing_seed = (1..=FAILING_SEEDS).find(|seed| !play(*seed, unguarded, text).findings.is_empty());
+    let failing_seed = (1..=FAILING_SEEDS).find(|seed| !run_timeline(*seed, unguarded, text).findings.is_empty());
     assert!(failing_seed.is_some(), "without {guard} nothing was found in {FAILING_SEEDS} seeds");
     for seed in (1..=CLEAN_SEEDS).chain(failing_seed) {
         clean(seed, text);
@@ -23,8 +26,8 @@
 
 /// Runs the timeline with all guards enabled and asserts that the checkers report nothing.
 fn clean(seed: u64, text: &str) {
-    let scene = play(seed, DisabledGuards::default(), text);
-    assert!(scene.findings.is_empty(), "seed {seed}: {:#?}\n{}", scene.findings, drawn(&scene.town));
+    let scene = run_timeline(seed, DisabledGuards::default(), text);
+    assert!(scene.findings.is_empty(), "seed {seed}: {:#?}\n{}", scene.findings, formatted_log(&scene.deployment));
 }
 
 /// Two primaries execute statements whose responses are lost because the connection is reset.
@@ -150,8 +153,8 @@
             15   .     join  .     .     join  .     .      .      .
             24   .     .     .     .     .     .     .      .      .
         ";
-        let scene = play(seed, DisabledGuards::default(), text);
-        let log = drawn(&scene.town);
+        let scene = run_timeline(seed, DisabledGuards::default(), text);
+        let log = formatted_log(&scene.deployment);
         assert!(scene.findings.is_empty(), "seed {seed}: {:#?}\n{log}", scene.findings);
         for what in ["g1-a has left", "g2-b has left", "g1-d has caught up", "g2-d has caught up", "g3-a has caught up"]
         {
@@ -172,10 +175,13 @@
             6.5  .     start
             14   .     .
         ";
-        let scene = play(seed, DisabledGuards::default(), text);
-        let log = drawn(&scene.town);
+        let scene = run_timeline(seed, DisabledGuards::default(), text);
+        let log = formatted_log(&scene.deployment);
         assert!(scene.findings.is_empty(), "seed {seed}: {:#?}\n{log}", scene.findings);
-        assert!(log.contains("g1-a has caught up") && scene.town.report().good[12..].iter().all(|n| *n > 40), "{log}");
+        assert!(
+            log.contains("g1-a has caught up") && scene.deployment.report().good[12..].iter().all(|n| *n > 40),
+            "{log}"
+        );
     }
 }
 
@@ -252,11 +258,11 @@
 #[test]
 fn service_is_back_after_all_machines_return() {
     let unguarded = DisabledGuards::without("recall").expect("a known guard");
-    let out = swarm(1, unguarded, Draw::Only("nothing"));
+    let out = run_randomized(1, unguarded, FaultSelection::Only("nothing"));
     assert!(out.findings.iter().any(|f| f.contains("service was not back")), "{:#?}", out.findings);
     for seed in 1..=3 {
-        let out = swarm(seed, DisabledGuards::default(), Draw::Only("nothing"));
-        assert!(out.findings.is_empty() && out.back <= 8, "{} {:#?}", out.back, out.findings);
+        let out = run_randomized(seed, DisabledGuards::default(), FaultSelection::Only("nothing"));
+        assert!(out.findings.is_empty() && out.recovery_s <= 8, "{} {:#?}", out.recovery_s, out.findings);
     }
 }
 
@@ -264,34 +270,34 @@
 /// the code that the rescue command prints; then routes, elections and acknowledged commits are those of that disk.
 #[test]
 fn two_lost_control_node_disks_need_manual_recovery() {
-    let deployment = Town::new(1, Build::default());
-    deployment.settle(Duration::from_secs(30)).unwrap();
-    deployment.drive(60, 60.0, Duration::from_secs(6));
-    deployment.sim.pass(Duration::from_secs(8));
-    let hubs = ["h1", "h2", "h3"];
-    hubs.iter().for_each(|h| deployment.kill(h));
+    let deployment = Deployment::new(1, DeploymentOptions::default());
+    deployment.configure_and_wait(Duration::from_secs(30)).unwrap();
+    deployment.start_load(60, 60.0, Duration::from_secs(6));
+    deployment.sim.run_for(Duration::from_secs(8));
+    let control_nodes = ["h1", "h2", "h3"];
+    control_nodes.iter().for_each(|h| deployment.kill(h));
     ["h1", "h3"].iter().for_each(|h| deployment.wipe(h));
-    hubs.iter().for_each(|h| deployment.start(h));
-    deployment.sim.pass(Duration::from_secs(10));
-    assert_eq!(deployment.chief(), None, "a leader was elected with one disk image of three");
-    hubs.iter().for_each(|h| deployment.kill(h));
+    control_nodes.iter().for_each(|h| deployment.start(h));
+    deployment.sim.run_for(Duration::from_secs(10));
+    assert_eq!(deployment.leading_control_node(), None, "a leader was elected with one disk image of three");
+    control_nodes.iter().for_each(|h| deployment.kill(h));
     let text = deployment.rescue("h2", "look").unwrap();
     let accept_code = text.rsplit(' ').next().unwrap().to_string();
     assert!(deployment.rescue("h2", "take-0-0-0").is_err() && deployment.rescue("h1", "look").is_err());
-    hubs.iter().for_each(|h| deployment.start(h));
-    deployment.sim.pass(Duration::from_secs(4));
-    assert_eq!(deployment.chief(), None, "reading the image for inspection accepted it");
-    hubs.iter().for_each(|h| deployment.kill(h));
+    control_nodes.iter().for_each(|h| deployment.start(h));
+    deployment.sim.run_for(Duration::from_secs(4));
+    assert_eq!(deployment.leading_control_node(), None, "reading the image for inspection accepted it");
+    control_nodes.iter().for_each(|h| deployment.kill(h));
     ["h1", "h3"].iter().for_each(|h| deployment.wipe(h));
     deployment.rescue("h2", &accept_code).unwrap();
-    hubs.iter().for_each(|h| deployment.start(h));
-    deployment.sim.pass(Duration::from_secs(8));
-    let from = deployment.history.events.borrow().len();
-    deployment.drive(60, 60.0, Duration::from_secs(6));
-    deployment.sim.pass(Duration::from_secs(14));
+    control_nodes.iter().for_each(|h| deployment.start(h));
+    deployment.sim.run_for(Duration::from_secs(8));
+    let from = deployment.history.requests.borrow().len();
+    deployment.start_load(60, 60.0, Duration::from_secs(6));
+    deployment.sim.run_for(Duration::from_secs(14));
     assert_eq!(deployment.findings(), Vec::<String>::new());
-    let events = deployment.history.events.borrow();
-    let good = events[from..].iter().filter(|e| e.end == kit::load::End::Good).count();
+    let events = deployment.history.requests.borrow();
+    let good = events[from..].iter().filter(|e| e.outcome == kit::load::RequestOutcome::Good).count();
     assert!(good * 20 > (events.len() - from) * 19, "{good} of {}", events.len() - from);
 }
 
@@ -301,12 +307,12 @@
 fn two_partitioned_zones_are_both_served() {
     for (seed, pair) in [(1, "part>mid"), (2, "part>south"), (3, "part>mid")] {
         let text = format!("\n s north\n 2 {pair}\n 24 .\n");
-        let scene = play(seed, DisabledGuards::default(), &text);
+        let scene = run_timeline(seed, DisabledGuards::default(), &text);
         assert!(scene.findings.is_empty(), "seed {seed}: {:#?}", scene.findings);
-        let report = scene.town.report();
+        let report = scene.deployment.report();
         let sum_while_partitioned = |list: &[u64]| list[10..24].iter().sum::<u64>() as f64;
         let share = sum_while_partitioned(&report.good) / sum_while_partitioned(&report.asked);
-        assert!(share > 0.97, "seed {seed}: {share}\n{}\n{}", report.text(), drawn(&scene.town));
+        assert!(share > 0.97, "seed {seed}: {share}\n{}\n{}", report.text(), formatted_log(&scene.deployment));
     }
 }
 
@@ -518,7 +524,7 @@
 #[test]
 fn a_full_disk_refuses_changes_and_keeps_serving() {
     for seed in 1..=3 {
-        let scene = play(
+        let scene = run_timeline(
             seed,
             DisabledGuards::default(),
             "
@@ -529,18 +535,21 @@
         ",
         );
         assert!(scene.findings.is_empty(), "seed {seed}: {:#?}", scene.findings);
-        assert!(scene.town.words.refused.get() > 0, "seed {seed}: no change was refused");
-        assert!(scene.town.up("h1") && !drawn(&scene.town).contains("is down"), "seed {seed}: a process ended");
-        assert!(scene.town.report().share > 0.99, "seed {seed}: {}", scene.town.report().text());
+        assert!(scene.deployment.operator_history.refused.get() > 0, "seed {seed}: no change was refused");
+        assert!(
+            scene.deployment.is_up("h1") && !formatted_log(&scene.deployment).contains("is down"),
+            "seed {seed}: a process ended"
+        );
+        assert!(scene.deployment.report().share > 0.99, "seed {seed}: {}", scene.deployment.report().text());
         let room_at = scene
-            .town
+            .deployment
             .sim
             .log()
             .iter()
             .rfind(|l| l.text == "has room on its disk")
             .expect("a log line about disk room")
             .at;
-        let sent = scene.town.words.sent.borrow();
+        let sent = scene.deployment.operator_history.changes.borrow();
         assert!(
             sent.iter().any(|s| s.acked.is_some_and(|t| t > room_at)),
             "seed {seed}: no change was accepted after the disk had room again"
@@ -550,17 +559,17 @@
 
 /// Runs a heavy load and returns the findings of the checkers, and the number of connections that servers refused over
 /// their limit. With a non-empty `restart`, the server g2-b is killed and restarted during the load.
-fn findings_under_load(seed: u64, build: Build, restart: &str) -> Vec<String> {
-    let deployment = Town::new(seed, build);
-    deployment.settle(Duration::from_secs(30)).unwrap();
-    deployment.drive(200, 250.0, Duration::from_secs(12));
-    deployment.sim.pass(Duration::from_secs(3));
+fn findings_under_load(seed: u64, build: DeploymentOptions, restart: &str) -> Vec<String> {
+    let deployment = Deployment::new(seed, build);
+    deployment.configure_and_wait(Duration::from_secs(30)).unwrap();
+    deployment.start_load(200, 250.0, Duration::from_secs(12));
+    deployment.sim.run_for(Duration::from_secs(3));
     if !restart.is_empty() {
-        act(&deployment, "g2-b", "kill");
-        act(&deployment, "g2-b", "start");
+        apply_action(&deployment, "g2-b", "kill");
+        apply_action(&deployment, "g2-b", "start");
     }
-    deployment.sim.pass(Duration::from_secs(14));
-    let over: u64 = deployment.servers.borrow().values().map(|s| s.stats.borrow().over).sum();
+    deployment.sim.run_for(Duration::from_secs(14));
+    let over: u64 = deployment.servers.borrow().values().map(|s| s.stats.borrow().refused_over_max).sum();
     let mut out = deployment.findings();
     if over > 0 {
         out.push(format!("{over} connections were refused over the server's connection limit"));
@@ -571,8 +580,12 @@
 /// With more clients than connections, the connection shares of a server never exceed its limit.
 #[test]
 fn shares_never_sum_to_more_than_the_cap() {
-    let build = Build { cap: 16, work: Duration::from_millis(60), ..Build::default() };
-    let unguarded = Build { tricks: DisabledGuards::without("ledger").unwrap(), ..build };
+    let build = DeploymentOptions {
+        max_server_connections: 16,
+        statement_time: Duration::from_millis(60),
+        ..DeploymentOptions::default()
+    };
+    let unguarded = DeploymentOptions { disabled_guards: DisabledGuards::without("ledger").unwrap(), ..build };
     assert!(!findings_under_load(1, unguarded, "").is_empty(), "nothing was found without the ledger");
     for seed in 1..=3 {
         assert_eq!(findings_under_load(seed, build, ""), Vec::<String>::new(), "seed {seed}");
@@ -583,8 +596,13 @@
 #[test]
 fn a_cold_server_is_not_flooded() {
     let (work, warm) = (Duration::from_millis(300), Duration::from_secs(8));
-    let build = Build { cap: 48, work, warm, ..Build::default() };
-    let unguarded = Build { tricks: DisabledGuards::without("ramp").unwrap(), ..build };
+    let build = DeploymentOptions {
+        max_server_connections: 48,
+        statement_time: work,
+        warm_up_time: warm,
+        ..DeploymentOptions::default()
+    };
+    let unguarded = DeploymentOptions { disabled_guards: DisabledGuards::without("ramp").unwrap(), ..build };
     assert!(!findings_under_load(1, unguarded, "cold").is_empty(), "nothing was found without the ramp");
     for seed in 1..=3 {
         assert_eq!(findings_under_load(seed, build, "cold"), Vec::<String>::new(), "seed {seed}");
--- a/kit/tests/late_orders.rs
+++ b/kit/tests/late_orders.rs
@@ -88,7 +88,7 @@
 impl Chain {
     fn new(seed: u64) -> Self {
         let sim = Sim::new(seed);
-        let hosts = (0..3).map(|i| sim.host(&format!("r{i}"), "north")).collect();
+        let hosts = (0..3).map(|i| sim.add_host(&format!("r{i}"), "north")).collect();
         let chain =
             Self { sim, hosts, relays: RefCell::default(), supervisors: RefCell::default(), executed: Rc::default() };
         for node in [ROOT, MIDDLE, LEAF] {
@@ -96,7 +96,7 @@
             chain.relays.borrow_mut().push(relay);
             chain.supervisors.borrow_mut().push(supervisor);
         }
-        chain.sim.pass(ms(4000));
+        chain.sim.run_for(ms(4000));
         assert!(chain.relay(LEAF).reaches_leader(), "the leaf reaches the leader");
         chain
     }
@@ -164,10 +164,10 @@
         for node in [ROOT, MIDDLE, LEAF] {
             let chain = Chain::new(seed);
             let out = chain.request(node, "POST", ORDER_PATH);
-            chain.sim.pass(ms(3000));
+            chain.sim.run_for(ms(3000));
             let response = out.borrow().expect("a response");
             assert_eq!((response.0, chain.executions(ORDER_PATH)), (200, 1), "seed {seed}, node {node}");
-            assert_eq!(chain.relay(node).awaited(), 0);
+            assert_eq!(chain.relay(node).pending_request_count(), 0);
         }
     }
 }
@@ -176,15 +176,15 @@
 /// the order was executed.
 fn executions_after_freeze(seed: u64, frozen: usize, any_age: bool) -> usize {
     let chain = Chain::new(seed);
-    chain.relay(ROOT).guards.any_age.set(any_age);
+    chain.relay(ROOT).disabled_guards.accept_expired_requests.set(any_age);
     chain.sim.freeze(chain.hosts[frozen]);
     let out = chain.request(LEAF, "POST", ORDER_PATH);
-    chain.sim.pass(ms(2300));
+    chain.sim.run_for(ms(2300));
     let response = out.borrow().expect("a response");
     assert_eq!(response.0, 504, "seed {seed}: its outcome must be unknown");
     assert_eq!(chain.executions(ORDER_PATH), 0, "seed {seed}");
     chain.sim.thaw(chain.hosts[frozen]);
-    chain.sim.pass(ms(4000));
+    chain.sim.run_for(ms(4000));
     chain.executions(ORDER_PATH)
 }
 
@@ -206,10 +206,10 @@
         let chain = Chain::new(seed);
         chain.sim.freeze(chain.hosts[ROOT]);
         let out = chain.request(LEAF, "GET", "/ops/doorways");
-        chain.sim.pass(ms(2300));
+        chain.sim.run_for(ms(2300));
         assert_eq!(out.borrow().map(|t| t.0), Some(503), "seed {seed}");
         chain.sim.thaw(chain.hosts[ROOT]);
-        chain.sim.pass(ms(1000));
+        chain.sim.run_for(ms(1000));
         assert_eq!(chain.executions("/ops/doorways"), 1, "seed {seed}");
     }
 }
@@ -219,19 +219,19 @@
 fn statuses_after_restart(seed: u64, any_boot: bool) -> Vec<u16> {
     let chain = Chain::new(seed);
     let _unanswered = chain.request(LEAF, "POST", "/ops/slow");
-    chain.sim.pass(ms(30));
+    chain.sim.run_for(ms(30));
     assert_eq!(chain.executions("/ops/slow"), 1, "seed {seed}");
     chain.sim.kill(chain.hosts[LEAF], false);
     chain.supervisors.borrow_mut().pop();
     chain.relays.borrow_mut().pop();
-    let env = chain.sim.boot(chain.hosts[LEAF]);
+    let env = chain.sim.bring_up(chain.hosts[LEAF]);
     let (relay, supervisor) = chain.start(LEAF, env, 77);
-    relay.guards.any_boot.set(any_boot);
+    relay.disabled_guards.accept_other_boot_ids.set(any_boot);
     chain.relays.borrow_mut().push(relay);
     chain.supervisors.borrow_mut().push(supervisor);
-    chain.sim.pass(ms(500));
+    chain.sim.run_for(ms(500));
     let outstanding: Vec<_> = (0..60).map(|_| chain.request(LEAF, "GET", "/ops/never")).collect();
-    chain.sim.pass(ms(3000));
+    chain.sim.run_for(ms(3000));
     outstanding.iter().filter_map(|o| o.borrow().map(|t| t.0)).collect()
 }
 
@@ -250,9 +250,9 @@
 fn an_order_without_a_path_to_the_leader_is_refused_at_once() {
     let chain = Chain::new(1);
     chain.sim.kill(chain.hosts[MIDDLE], false);
-    chain.sim.pass(ms(2000));
+    chain.sim.run_for(ms(2000));
     let out = chain.request(LEAF, "POST", ORDER_PATH);
-    chain.sim.pass(ms(50));
+    chain.sim.run_for(ms(50));
     let response = out.borrow().expect("an immediate response");
     assert_eq!((response.0, chain.executions(ORDER_PATH)), (503, 0));
 }
@@ -270,9 +270,9 @@
     for _ in 0..20 {
         let (relay, env) = (relay.clone(), relay.env.clone());
         let task = env.spawn(async move { drop(relay.forward(request("/ops/never")).await) });
-        chain.sim.pass(ms(5));
+        chain.sim.run_for(ms(5));
         drop(task);
     }
-    chain.sim.pass(ms(5));
-    assert_eq!(relay.awaited(), 0);
+    chain.sim.run_for(ms(5));
+    assert_eq!(relay.pending_request_count(), 0);
 }
--- a/kit/tests/orders.rs
+++ b/kit/tests/orders.rs
@@ -6,11 +6,11 @@
 use base::Env;
 use kit::{
     check_orders,
-    sim::{Hall, HallBuild, Operators},
+    sim::{Operators, PlatformDeployment, PlatformDeploymentOptions},
 };
 use platform::{
-    Wire,
-    stand::{BadOrder, Order, bad_orders, read_back},
+    LineStream,
+    stand_in::{MalformedOrder, Order, malformed_orders, read_back},
 };
 
 /// Version number and mark of the configuration of a settled deployment; it has no mark.
@@ -28,14 +28,14 @@
 }
 
 /// A deployment with one machine in each zone and one group.
-fn small() -> HallBuild {
-    HallBuild { machines: 1, groups: 1, ..HallBuild::default() }
+fn small() -> PlatformDeploymentOptions {
+    PlatformDeploymentOptions { machines_per_zone: 1, groups: 1, ..PlatformDeploymentOptions::default() }
 }
 
 /// Runs a timeline, whose first line names the columns, under the load of the operators on a settled deployment.
-fn play(seed: u64, build: HallBuild, text: &str) -> (Rc<Hall>, Rc<Operators>) {
-    let deployment = Hall::new(seed, build);
-    deployment.settle();
+fn play(seed: u64, build: PlatformDeploymentOptions, text: &str) -> (Rc<PlatformDeployment>, Rc<Operators>) {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.configure_and_wait();
     let operators = Operators::new(&deployment);
     let start = deployment.sim.now();
     let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
@@ -45,8 +45,8 @@
     let end = rows.last().map_or(0.0, |r| row_time_s(r));
     operators.start(&deployment, OPERATOR_COUNT, Duration::from_secs_f64(end + 4.0));
     for row in &rows {
-        deployment.sim.run(start + Duration::from_secs_f64(row_time_s(row)), &|| false);
-        names.iter().zip(&row[1..]).for_each(|(n, w)| deployment.act(n, w));
+        deployment.sim.run_until(start + Duration::from_secs_f64(row_time_s(row)), &|| false);
+        names.iter().zip(&row[1..]).for_each(|(n, w)| deployment.apply_action(n, w));
     }
     operators.finish(&deployment);
     (deployment, operators)
@@ -54,15 +54,20 @@
 
 /// What the checker of the recorded orders reports.
 fn findings(operators: &Operators) -> Vec<String> {
-    check_orders::orders(&operators.history(), INITIAL_VERSION)
+    check_orders::check_orders(&operators.history(), INITIAL_VERSION)
 }
 
 /// Runs the timeline with all guards and asserts that the checker reports nothing and that orders were accepted.
 fn clean(seed: u64, text: &str) {
     let (deployment, operators) = play(seed, small(), text);
     let found = findings(&operators);
-    assert!(found.is_empty(), "seed {seed}: {found:#?}\n{}", deployment.drawn());
-    assert!(operators.taken() > 5, "seed {seed}: {} orders were accepted\n{}", operators.taken(), deployment.drawn());
+    assert!(found.is_empty(), "seed {seed}: {found:#?}\n{}", deployment.formatted_log());
+    assert!(
+        operators.acknowledged_orders() > 5,
+        "seed {seed}: {} orders were accepted\n{}",
+        operators.acknowledged_orders(),
+        deployment.formatted_log()
+    );
 }
 
 /// Asserts that no seed gives a finding with all guards, and that some seed gives one that contains `what` without the
@@ -97,7 +102,7 @@
 
 #[test]
 fn of_two_operators_on_one_version_one_wins() {
-    guarded(CALM, "had replaced", |t| t.no_compare = true);
+    guarded(CALM, "had replaced", |t| t.no_version_check = true);
 }
 
 #[test]
@@ -134,12 +139,16 @@
 }
 
 /// Runs a task on the operators' host until it finishes, at most for `timeout`.
-fn run_as_operator<T: 'static>(deployment: &Rc<Hall>, timeout: Duration, task: impl Future<Output = T> + 'static) -> T {
+fn run_as_operator<T: 'static>(
+    deployment: &Rc<PlatformDeployment>,
+    timeout: Duration,
+    task: impl Future<Output = T> + 'static,
+) -> T {
     let out = Rc::new(RefCell::new(None));
     let result = out.clone();
-    deployment.to_desk(async move { *result.borrow_mut() = Some(task.await) });
+    deployment.spawn_on_client_host(async move { *result.borrow_mut() = Some(task.await) });
     let done = out.clone();
-    deployment.sim.run(deployment.sim.now() + timeout, &move || done.borrow().is_some());
+    deployment.sim.run_until(deployment.sim.now() + timeout, &move || done.borrow().is_some());
     out.borrow_mut().take().expect("the task finishes in time")
 }
 
@@ -158,12 +167,13 @@
 
 /// Sends 530 orders, then two of them again. A control node remembers 512 orders, so the first is forgotten. Returns the
 /// statuses of all orders and those of the repeated first and hundredth.
-fn first_order_after_many(build: HallBuild) -> (Vec<u16>, u16, u16) {
-    let deployment = Hall::new(1, build);
-    deployment.settle();
-    let (env, nodes, plans) = (deployment.desk(), deployment.control(), deployment.plans(Duration::ZERO));
+fn first_order_after_many(build: PlatformDeploymentOptions) -> (Vec<u16>, u16, u16) {
+    let deployment = PlatformDeployment::new(1, build);
+    deployment.configure_and_wait();
+    let (env, nodes, plans) =
+        (deployment.client_env(), deployment.control_addresses(), deployment.load_plans(Duration::ZERO));
     run_as_operator(&deployment, secs(600), async move {
-        let order = |n: u64| Order::patch(&plans, 3 + n, 4 + n, &format!("m{n}"));
+        let order = |n: u64| Order::change(&plans, 3 + n, 4 + n, &format!("m{n}"));
         let mut codes = Vec::new();
         for n in 0..530 {
             codes.push(send_until_decided(&env, &nodes, &order(n), 20).await.0);
@@ -183,15 +193,16 @@
 /// concurrent order.
 #[test]
 fn orders_are_answered_within_100_ms_without_faults() {
-    let deployment = Hall::new(5, small());
-    deployment.settle();
-    let (env, nodes, plans) = (deployment.desk(), deployment.control(), deployment.plans(Duration::ZERO));
+    let deployment = PlatformDeployment::new(5, small());
+    deployment.configure_and_wait();
+    let (env, nodes, plans) =
+        (deployment.client_env(), deployment.control_addresses(), deployment.load_plans(Duration::ZERO));
     let durations = run_as_operator(&deployment, secs(120), async move {
         let mut durations = [Vec::new(), Vec::new(), Vec::new()];
         for n in 0..60 {
             let node = &nodes[n as usize % nodes.len()..][..1];
-            let order = Order::patch(&plans, 3 + n, 4 + n, &format!("m{n}"));
-            let rival = Order::patch(&plans, 3 + n, 4 + n, &format!("r{n}"));
+            let order = Order::change(&plans, 3 + n, 4 + n, &format!("m{n}"));
+            let rival = Order::change(&plans, 3 + n, 4 + n, &format!("r{n}"));
             for (list, (order, code)) in durations.iter_mut().zip([(&order, 200), (&order, 200), (&rival, 412)]) {
                 let (status, duration) = send_until_decided(&env, node, order, 1).await;
                 assert_eq!(status, code);
@@ -220,15 +231,16 @@
 
 #[test]
 fn different_changes_with_one_number_are_distinguished() {
-    let deployment = Hall::new(2, small());
-    deployment.settle();
-    let (env, nodes, plans) = (deployment.desk(), deployment.control(), deployment.plans(Duration::ZERO));
+    let deployment = PlatformDeployment::new(2, small());
+    deployment.configure_and_wait();
+    let (env, nodes, plans) =
+        (deployment.client_env(), deployment.control_addresses(), deployment.load_plans(Duration::ZERO));
     run_as_operator(&deployment, secs(60), async move {
-        let first = Order::patch(&plans, 3, 5, "first");
-        let rival = Order::patch(&plans, 3, 5, "other");
-        let whole = Order::whole(&plans, 3, 5, "first");
-        let on_top = Order::patch(&plans, 5, 6, "on top");
-        let same_number = Order::patch(&plans, 5, 5, "not above");
+        let first = Order::change(&plans, 3, 5, "first");
+        let rival = Order::change(&plans, 3, 5, "other");
+        let whole = Order::replacement(&plans, 3, 5, "first");
+        let on_top = Order::change(&plans, 5, 6, "on top");
+        let same_number = Order::change(&plans, 5, 5, "not above");
         for node in &nodes {
             let code = async |o: &Order| o.send(&env, *node, secs(1)).await.map_or(0, |a| a.0);
             assert_eq!(code(&first).await, 200);
@@ -245,18 +257,18 @@
 
 /// No server or node of the zone `south` ever reported and its control node has been down for long; then the leader
 /// changes and the zones are evacuated. Returns status and duration of each order.
-fn evacuation_of_a_silent_zone(seed: u64, build: HallBuild) -> Vec<(u16, Duration)> {
-    let deployment = Hall::new(seed, build);
-    deployment.act("s02", "kill");
-    deployment.act("n20", "kill");
-    deployment.settle();
-    deployment.act("h2", "kill");
-    deployment.sim.pass(secs(8));
-    deployment.act(["h0", "h1"][seed as usize % 2], "leave");
-    deployment.sim.pass(ms(200));
-    deployment.act("h0", "start");
-    deployment.act("h1", "start");
-    let (env, nodes) = (deployment.desk(), deployment.control()[..2].to_vec());
+fn evacuation_of_a_silent_zone(seed: u64, build: PlatformDeploymentOptions) -> Vec<(u16, Duration)> {
+    let deployment = PlatformDeployment::new(seed, build);
+    deployment.apply_action("s02", "kill");
+    deployment.apply_action("n20", "kill");
+    deployment.configure_and_wait();
+    deployment.apply_action("h2", "kill");
+    deployment.sim.run_for(secs(8));
+    deployment.apply_action(["h0", "h1"][seed as usize % 2], "leave");
+    deployment.sim.run_for(ms(200));
+    deployment.apply_action("h0", "start");
+    deployment.apply_action("h1", "start");
+    let (env, nodes) = (deployment.client_env(), deployment.control_addresses()[..2].to_vec());
     run_as_operator(&deployment, secs(60), async move {
         let mut out = Vec::new();
         for order in [Order::evacuation("south", false), Order::evacuation("north", false)] {
@@ -275,7 +287,7 @@
     }
     let refused = (1..=12).any(|seed| {
         let mut build = small();
-        build.hub.soft_zones = true;
+        build.hub.reported_zones_only = true;
         evacuation_of_a_silent_zone(seed, build).iter().any(|o| o.0 == 400)
     });
     assert!(refused, "without the guard no evacuation was refused");
@@ -284,10 +296,10 @@
 /// Stops the leader with the action `how`, and at once an operator evacuates a zone and then repeats the order. Returns
 /// status and duration of both.
 fn evacuation_after(seed: u64, zones: bool, how: &str) -> [(u16, Duration); 2] {
-    let deployment = Hall::new(seed, HallBuild { zones, ..small() });
-    deployment.settle();
-    let (env, nodes) = (deployment.desk(), deployment.control());
-    ["h0", "h1", "h2"].iter().filter(|h| leads(&deployment, h)).for_each(|h| deployment.act(h, how));
+    let deployment = PlatformDeployment::new(seed, PlatformDeploymentOptions { list_zones: zones, ..small() });
+    deployment.configure_and_wait();
+    let (env, nodes) = (deployment.client_env(), deployment.control_addresses());
+    ["h0", "h1", "h2"].iter().filter(|h| leads(&deployment, h)).for_each(|h| deployment.apply_action(h, how));
     run_as_operator(&deployment, secs(60), async move {
         let order = Order::evacuation("south", false);
         [send_until_decided(&env, &nodes, &order, 60).await, send_until_decided(&env, &nodes, &order, 60).await]
@@ -295,10 +307,10 @@
 }
 
 /// Whether this control node is the last one that logged that it leads.
-fn leads(deployment: &Hall, hub: &str) -> bool {
+fn leads(deployment: &PlatformDeployment, hub: &str) -> bool {
     let log = deployment.sim.log();
-    let is_leader_line = |l: &&kit::sim::Line| l.text.starts_with("leading");
-    log.iter().rfind(is_leader_line).is_some_and(|l| l.who == hub)
+    let is_leader_line = |l: &&kit::sim::LogLine| l.text.starts_with("leading");
+    log.iter().rfind(is_leader_line).is_some_and(|l| l.process == hub)
 }
 
 #[test]
@@ -315,12 +327,12 @@
 
 #[test]
 fn an_unknown_zone_is_not_refused_before_all_had_time_to_report() {
-    let deployment = Hall::new(4, HallBuild { zones: false, ..small() });
-    deployment.settle();
-    deployment.act("all", "kill");
-    deployment.sim.pass(secs(1));
-    deployment.act("all", "start");
-    let (env, nodes) = (deployment.desk(), deployment.control());
+    let deployment = PlatformDeployment::new(4, PlatformDeploymentOptions { list_zones: false, ..small() });
+    deployment.configure_and_wait();
+    deployment.apply_action("all", "kill");
+    deployment.sim.run_for(secs(1));
+    deployment.apply_action("all", "start");
+    let (env, nodes) = (deployment.client_env(), deployment.control_addresses());
     let codes = run_as_operator(&deployment, secs(60), async move {
         let order = Order::evacuation("nowhere", false);
         let mut codes = Vec::new();
@@ -336,32 +348,33 @@
 }
 
 /// Sends an invalid order; returns the status of the response, or 0 if the connection closed without one.
-async fn send_bad_order(env: &Env, node: SocketAddr, order: &BadOrder) -> u16 {
+async fn send_bad_order(env: &Env, node: SocketAddr, order: &MalformedOrder) -> u16 {
     let Ok(io) = env.connect(node, secs(1)).await else { return 0 };
-    let mut wire = Wire::new(io);
+    let mut wire = LineStream::new(io);
     // A node may respond and close the connection before it has read the whole order.
     let _ = env.timeout(secs(5), wire.write(&order.bytes)).await;
-    if order.ends {
+    if order.closes_after {
         wire.close().await;
     }
-    let Ok(Ok(line)) = env.timeout(secs(5), wire.line()).await else { return 0 };
+    let Ok(Ok(line)) = env.timeout(secs(5), wire.read_line()).await else { return 0 };
     line.split(' ').nth(1).and_then(|c| c.parse().ok()).unwrap_or(0)
 }
 
 #[test]
 fn bad_orders_are_answered_and_change_nothing() {
-    let deployment = Hall::new(5, small());
-    deployment.settle();
-    let (env, nodes, plans) = (deployment.desk(), deployment.control(), deployment.plans(Duration::ZERO));
+    let deployment = PlatformDeployment::new(5, small());
+    deployment.configure_and_wait();
+    let (env, nodes, plans) =
+        (deployment.client_env(), deployment.control_addresses(), deployment.load_plans(Duration::ZERO));
     run_as_operator(&deployment, secs(600), async move {
         let before = read_back(&env, nodes[0], secs(1)).await.expect("a configuration");
         let mut wrong = Vec::new();
-        for order in bad_orders(&plans, before.number) {
+        for order in malformed_orders(&plans, before.number) {
             for node in &nodes {
                 let code = send_bad_order(&env, *node, &order).await;
                 // A client that closes in the middle of an order may get no response.
-                if code != order.want && !(order.ends && code == 0) {
-                    wrong.push(format!("{}: status {code}, expected {}", order.what, order.want));
+                if code != order.expected_status && !(order.closes_after && code == 0) {
+                    wrong.push(format!("{}: status {code}, expected {}", order.description, order.expected_status));
                 }
             }
         }
@@ -369,7 +382,7 @@
         let after = read_back(&env, nodes[1], secs(1)).await;
         assert_eq!(after.as_ref(), Some(&before), "the configuration must not change");
         // A valid order is still accepted.
-        let good = Order::patch(&plans, before.number, before.number + 1, "good");
+        let good = Order::change(&plans, before.number, before.number + 1, "good");
         assert_eq!(good.send(&env, nodes[2], secs(1)).await.map(|a| a.0), Some(200));
     });
 }
@@ -379,14 +392,14 @@
 
 /// Sends `CONCURRENT_ORDERS` orders at once, some of them equal; returns each response with its duration.
 async fn send_concurrently(
-    deployment: &Hall,
+    deployment: &PlatformDeployment,
     node: SocketAddr,
     base: u64,
     mark: &str,
 ) -> Vec<(Option<(u16, Option<u64>)>, Duration)> {
-    let (env, plans) = (deployment.desk(), deployment.plans(Duration::ZERO));
+    let (env, plans) = (deployment.client_env(), deployment.load_plans(Duration::ZERO));
     let one = |n: u64| {
-        let (env, order) = (env.clone(), Order::patch(&plans, base, base + 1 + n % 3, &format!("{mark}{}", n % 50)));
+        let (env, order) = (env.clone(), Order::change(&plans, base, base + 1 + n % 3, &format!("{mark}{}", n % 50)));
         async move {
             let start = env.now();
             (order.send(&env, node, secs(10)).await, env.now() - start)
@@ -397,9 +410,9 @@
 
 #[test]
 fn hundreds_of_concurrent_orders_get_clear_responses_and_block_no_later_ones() {
-    let deployment = Hall::new(6, small());
-    deployment.settle();
-    let (env, nodes) = (deployment.desk(), deployment.control());
+    let deployment = PlatformDeployment::new(6, small());
+    deployment.configure_and_wait();
+    let (env, nodes) = (deployment.client_env(), deployment.control_addresses());
     let task_deployment = deployment.clone();
     run_as_operator(&deployment, secs(600), async move {
         for round in 0..5 {
@@ -417,24 +430,25 @@
 /// A partitioned leader can't decide orders: it queues a bounded number of them and refuses the rest at once.
 #[test]
 fn a_partitioned_leader_decides_none_of_many_concurrent_orders() {
-    let deployment = Hall::new(6, small());
-    deployment.settle();
-    let (env, nodes, plans) = (deployment.desk(), deployment.control(), deployment.plans(Duration::ZERO));
+    let deployment = PlatformDeployment::new(6, small());
+    deployment.configure_and_wait();
+    let (env, nodes, plans) =
+        (deployment.client_env(), deployment.control_addresses(), deployment.load_plans(Duration::ZERO));
     let leader = ["h0", "h1", "h2"].into_iter().position(|h| leads(&deployment, h)).expect("a leader");
-    let others: Vec<&str> = (0..3).filter(|o| *o != leader).map(|o| kit::sim::AREAS[o]).collect();
-    let zone = kit::sim::AREAS[leader];
+    let others: Vec<&str> = (0..3).filter(|o| *o != leader).map(|o| kit::sim::ZONES[o]).collect();
+    let zone = kit::sim::ZONES[leader];
     let task_deployment = deployment.clone();
     run_as_operator(&deployment, secs(600), async move {
-        others.iter().for_each(|other| task_deployment.act(zone, &format!("part>{other}")));
+        others.iter().for_each(|other| task_deployment.apply_action(zone, &format!("part>{other}")));
         let out = send_concurrently(&task_deployment, nodes[leader], 3, "cut").await;
         assert!(out.iter().all(|o| o.0.is_none_or(|a| a.0 == 503)), "{out:?}");
         let refused_at_once =
             |o: &&(Option<(u16, Option<u64>)>, Duration)| o.1 < ms(200) && o.0 == Some((503, Some(1)));
         assert!(out.iter().filter(refused_at_once).count() >= 200, "{out:?}");
-        others.iter().for_each(|other| task_deployment.act(zone, &format!("heal>{other}")));
+        others.iter().for_each(|other| task_deployment.apply_action(zone, &format!("heal>{other}")));
         env.sleep(secs(4)).await;
         let base = read_back(&env, nodes[leader], secs(1)).await.expect("a configuration").number;
-        let last = Order::patch(&plans, base, base + 10, "last");
+        let last = Order::change(&plans, base, base + 10, "last");
         assert_eq!(send_until_decided(&env, &nodes, &last, 20).await.0, 200);
     });
 }
--- a/kit/tests/recovery.rs
+++ b/kit/tests/recovery.rs
@@ -3,11 +3,11 @@
 
 use std::rc::Rc;
 
-use kit::sim::{Hall, HallBuild};
+use kit::sim::{PlatformDeployment, PlatformDeploymentOptions};
 
 /// Two control nodes in each zone; five of the six are members, three are named by the settings.
-fn build() -> HallBuild {
-    HallBuild { hubs: 2, losses: 2, ..HallBuild::default() }
+fn build() -> PlatformDeploymentOptions {
+    PlatformDeploymentOptions { control_nodes_per_zone: 2, tolerated_losses: 2, ..PlatformDeploymentOptions::default() }
 }
 
 /// The control nodes that the settings name.
@@ -19,15 +19,15 @@
 const RECOVERY_S: u64 = 12;
 
 /// The control node that became the leader last.
-fn last_leader(deployment: &Hall) -> String {
+fn last_leader(deployment: &PlatformDeployment) -> String {
     let log = deployment.sim.log();
     let lines = log.iter().filter(|l| l.text.starts_with("leading in term"));
-    lines.map(|l| l.who.clone()).next_back().expect("a leader")
+    lines.map(|l| l.process.clone()).next_back().expect("a leader")
 }
 
 /// The end of a run.
 struct Outcome {
-    deployment: Rc<Hall>,
+    deployment: Rc<PlatformDeployment>,
     leader: String,
     /// Successful requests in three seconds before the outage.
     before: u64,
@@ -37,11 +37,11 @@
 
 /// Runs the timeline and counts successful requests before the outage and after the time allowed for recovery.
 fn play(seed: u64, text: &str) -> Outcome {
-    let deployment = Hall::new(seed, build());
-    deployment.settle();
+    let deployment = PlatformDeployment::new(seed, build());
+    deployment.configure_and_wait();
     let start = deployment.sim.now().as_secs();
-    deployment.play_at_once(text);
-    let sum = |from: u64, to: u64| deployment.served(start + from, start + to).iter().sum();
+    deployment.run_timeline_when_configured(text);
+    let sum = |from: u64, to: u64| deployment.successes_per_second(start + from, start + to).iter().sum();
     let (before, after) = (sum(1, 4), sum(RESTART_S + RECOVERY_S, RESTART_S + RECOVERY_S + 3));
     let leader = last_leader(&deployment);
     Outcome { leader, before, after, deployment }
@@ -55,11 +55,11 @@
         let Outcome { deployment, leader, before, after } = play(seed, text);
         unnamed += usize::from(!NAMED.contains(&leader.as_str()));
         let found = deployment.findings();
-        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.drawn());
+        assert!(found.is_empty(), "seed {seed}: {found:?}\n{}", deployment.formatted_log());
         assert!(
             after * 4 >= before * 3,
             "seed {seed}: {leader} leads, {before} successful requests before and {after} after\n{}",
-            deployment.drawn()
+            deployment.formatted_log()
         );
     }
     assert!(unnamed > 0, "no seed ended with a leader that the settings do not name");
--- a/kit/tests/relay_news.rs
+++ b/kit/tests/relay_snapshots.rs
@@ -26,7 +26,7 @@
 
 /// The full snapshot that was published with version `count`; it has `count` routes.
 fn full_snapshot(count: u64) -> FullSnapshot {
-    let route = |i: u64| Route { name: format!("d{i}"), fresh_ms: i, ..Route::default() };
+    let route = |i: u64| Route { name: format!("d{i}"), max_staleness_ms: i, ..Route::default() };
     let image = Image { sequence: count, routes: (0..count).map(route).collect(), ..Image::default() };
     FullSnapshot { version: Some(version(count)), image: Some(image), ..FullSnapshot::default() }
 }
@@ -64,7 +64,7 @@
 
 /// Starts a relay that listens at `at`. Without seeds it is the leader, the root of the tree.
 fn start_relay(sim: &Rc<Sim>, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) -> (Rc<Relay>, Rc<Recorder>) {
-    let env = sim.env(sim.host(name, "north"));
+    let env = sim.env(sim.add_host(name, "north"));
     let is_leader = seeds.is_empty();
     let identity = NodeIdentity {
         name: name.into(),
@@ -93,7 +93,12 @@
 async fn scripted_parent(env: Env, at: SocketAddr, frames: Vec<Body>, requests: Rc<RefCell<Vec<SnapshotVersion>>>) {
     let listener = env.listen(at).await.expect("a free address");
     let (mut reader, writer) = open(&env, listener.accept().await.expect("a link"));
-    writer.send(Body::Hello(Hello { name: "parent".into(), zone: "north".into(), hub: true, ..Hello::default() }));
+    writer.send(Body::Hello(Hello {
+        name: "parent".into(),
+        zone: "north".into(),
+        is_control_node: true,
+        ..Hello::default()
+    }));
     writer.send(Body::ParentStatus(ParentStatus {
         reaches_leader: true,
         path: vec!["parent".into()],
@@ -128,7 +133,7 @@
 #[test]
 fn a_node_adopts_only_published_versions_in_rising_order_and_requests_a_full_snapshot_once() {
     let mut bad = delta(5, 6);
-    bad.routes[0].fresh_ms += 1;
+    bad.routes[0].max_staleness_ms += 1;
     let frames = vec![
         Body::FullSnapshot(full_snapshot(1)),
         Body::SnapshotDelta(delta(1, 2)),
@@ -146,27 +151,27 @@
     ];
     let sim = Sim::new(1);
     let requests = Rc::<RefCell<Vec<SnapshotVersion>>>::default();
-    let env = sim.env(sim.host("parent", "north"));
+    let env = sim.env(sim.add_host("parent", "north"));
     env.spawn(scripted_parent(env.clone(), addr(1), frames, requests.clone())).detach();
     let (relay, recorder) = start_relay(&sim, "child", addr(2), vec![addr(1)]);
-    sim.pass(Duration::from_secs(2));
+    sim.run_for(Duration::from_secs(2));
     let adopted: Vec<Snapshot> = recorder.adopted.borrow().iter().map(|s| (**s).clone()).collect();
     assert_eq!(adopted, [1, 2, 4, 5, 6].map(snapshot));
     assert_eq!(*requests.borrow(), [version(2), version(5)]);
     let counters = &relay.snapshot_counters;
-    assert_eq!((counters.mismatches.get(), counters.requests.get(), counters.whole.get()), (1, 2, 5));
+    assert_eq!((counters.mismatches.get(), counters.requests.get(), counters.full.get()), (1, 2, 5));
 }
 
 /// Starts a scripted child whose first heartbeat reports the version `held`; records the snapshots and deltas that it
 /// receives. Without `deltas` it accepts full snapshots only.
 fn scripted_child(sim: &Rc<Sim>, name: &str, deltas: bool, held: SnapshotVersion) -> Rc<RefCell<Vec<Body>>> {
     let received = Rc::<RefCell<Vec<Body>>>::default();
-    let (env, recorded, name) = (sim.env(sim.host(name, "north")), received.clone(), name.to_string());
+    let (env, recorded, name) = (sim.env(sim.add_host(name, "north")), received.clone(), name.to_string());
     let task_env = env.clone();
     let task = async move {
         let stream = task_env.connect(addr(1), ms(200)).await.expect("a link");
         let (mut reader, writer) = open(&task_env, stream);
-        writer.send(Body::Hello(Hello { name: name.clone(), deltas, ..Hello::default() }));
+        writer.send(Body::Hello(Hello { name: name.clone(), accepts_deltas: deltas, ..Hello::default() }));
         writer.send(Body::NodeHeartbeat(NodeHeartbeat {
             name,
             snapshot_version: Some(held),
@@ -179,7 +184,7 @@
         }
     };
     env.spawn(task).detach();
-    sim.pass(ms(100));
+    sim.run_for(ms(100));
     received
 }
 
@@ -187,7 +192,7 @@
 fn a_child_receives_only_what_it_lacks() {
     let sim = Sim::new(1);
     let (root, _) = start_relay(&sim, "root", addr(1), Vec::new());
-    sim.pass(ms(100));
+    sim.run_for(ms(100));
     root.publish(snapshot(1));
     let current = scripted_child(&sim, "level", true, version(1));
     let empty = scripted_child(&sim, "empty", true, SnapshotVersion::default());
@@ -196,7 +201,7 @@
     assert!(current.borrow().is_empty() && newer.borrow().is_empty() && without_deltas.borrow().is_empty());
     assert_eq!(*empty.borrow(), [Body::FullSnapshot(full_snapshot(1))]);
     root.publish(snapshot(2));
-    sim.pass(ms(100));
+    sim.run_for(ms(100));
     assert_eq!(*current.borrow(), [Body::SnapshotDelta(delta(1, 2))]);
     assert_eq!(*empty.borrow(), [Body::FullSnapshot(full_snapshot(1)), Body::SnapshotDelta(delta(1, 2))]);
     assert_eq!(*without_deltas.borrow(), [Body::FullSnapshot(full_snapshot(2))]);
@@ -213,8 +218,8 @@
 fn routes_to_nodes_without_heartbeats_are_removed() {
     let sim = Sim::new(1);
     let (root, _) = start_relay(&sim, "root", addr(1), Vec::new());
-    sim.pass(ms(100));
-    let env = sim.env(sim.host("child", "north"));
+    sim.run_for(ms(100));
+    let env = sim.env(sim.add_host("child", "north"));
     let task_env = env.clone();
     let task = async move {
         let stream = task_env.connect(addr(1), ms(200)).await.expect("a link");
@@ -228,18 +233,18 @@
         std::future::pending::<()>().await;
     };
     env.spawn(task).detach();
-    sim.pass(Duration::from_secs(10));
-    let routes_after_10_s = root.routes();
-    sim.pass(Duration::from_secs(10));
+    sim.run_for(Duration::from_secs(10));
+    let routes_after_10_s = root.route_count();
+    sim.run_for(Duration::from_secs(10));
     assert!(
-        routes_after_10_s > 1 && root.routes() <= routes_after_10_s + 50,
+        routes_after_10_s > 1 && root.route_count() <= routes_after_10_s + 50,
         "{routes_after_10_s} routes, then {}",
-        root.routes()
+        root.route_count()
     );
-    sim.pass(Duration::from_secs(2));
+    sim.run_for(Duration::from_secs(2));
     assert!(
-        root.routes() >= 1 && root.routes() < routes_after_10_s,
+        root.route_count() >= 1 && root.route_count() < routes_after_10_s,
         "{routes_after_10_s} routes, then {}",
-        root.routes()
+        root.route_count()
     );
 }
