--- a/kit/tests/news.rs
+++ b/kit/tests/snapshots.rs
@@ -10,8 +10,8 @@
     strict,
 };
 use kit::{
-    fleet::{self, Machine},
-    sim::{Build, Town, act},
+    fleet::{self, NodeProcess},
+    sim::{Deployment, DeploymentOptions, apply_action},
 };
 use nanoserde::SerJson;
 
@@ -32,11 +32,14 @@
 }
 
 /// A settled deployment.
-fn settled_deployment(seed: u64, machines: usize) -> Rc<Town> {
+fn settled_deployment(seed: u64, machines: usize) -> Rc<Deployment> {
     // Enough connections that every node gets a share at every server.
-    let cap = (machines * 5).max(Build::default().cap);
-    let deployment = Town::new(seed, Build { machines, cap, ..Build::default() });
-    deployment.settle(secs(60)).expect("the deployment settles");
+    let cap = (machines * 5).max(DeploymentOptions::default().max_server_connections);
+    let deployment = Deployment::new(
+        seed,
+        DeploymentOptions { machines, max_server_connections: cap, ..DeploymentOptions::default() },
+    );
+    deployment.configure_and_wait(secs(60)).expect("the deployment settles");
     deployment
 }
 
@@ -53,7 +56,8 @@
     for change in changes {
         loop {
             let node = node_addrs[attempt % node_addrs.len()];
-            let Some(page) = fleet::ask(&env, node, "GET", "/ops/doorways", "").await.filter(|p| p.status == 200)
+            let Some(page) =
+                fleet::send_request(&env, node, "GET", "/ops/doorways", "").await.filter(|p| p.status == 200)
             else {
                 attempt += 1;
                 env.sleep(Duration::from_millis(50)).await;
@@ -61,7 +65,7 @@
             };
             let current: ConfigurationView = strict::read(&page.body).expect("a configuration");
             let body = ConfigurationChange { after: current.sequence, ..copy(&change) }.serialize_json();
-            match fleet::ask(&env, node, "PATCH", "/ops/doorways", &body).await {
+            match fleet::send_request(&env, node, "PATCH", "/ops/doorways", &body).await {
                 Some(r) if r.status == 200 => break,
                 Some(r) if r.status == 400 => panic!("{}", String::from_utf8_lossy(&r.body)),
                 _ => attempt += 1,
@@ -95,28 +99,34 @@
 }
 
 /// Starts an operator that makes the changes; returns the count of changes made so far.
-fn start_operator(deployment: &Rc<Town>, changes: Vec<ConfigurationChange>, pause: Duration) -> Rc<Cell<u64>> {
+fn start_operator(deployment: &Rc<Deployment>, changes: Vec<ConfigurationChange>, pause: Duration) -> Rc<Cell<u64>> {
     let done = Rc::new(Cell::new(0));
-    let node_addrs = deployment.layout.nodes().iter().map(|n| n.addr).collect();
-    deployment.spawn_at_desk(apply_as_operator(deployment.desk(), node_addrs, changes, pause, done.clone()));
+    let node_addrs = deployment.layout.load_nodes().iter().map(|n| n.addr).collect();
+    deployment.spawn_on_client_host(apply_as_operator(
+        deployment.client_env(),
+        node_addrs,
+        changes,
+        pause,
+        done.clone(),
+    ));
     done
 }
 
 /// Makes the changes and waits until all are made and distributed.
-fn apply_changes(deployment: &Rc<Town>, changes: Vec<ConfigurationChange>) {
+fn apply_changes(deployment: &Rc<Deployment>, changes: Vec<ConfigurationChange>) {
     let count = changes.len() as u64;
     let done = start_operator(deployment, changes, Duration::ZERO);
     let progress = done.clone();
-    deployment.sim.run(deployment.sim.now() + secs(2000), &move || progress.get() == count);
+    deployment.sim.run_until(deployment.sim.now() + secs(2000), &move || progress.get() == count);
     assert_eq!(done.get(), count, "changes made");
-    deployment.sim.pass(secs(2));
+    deployment.sim.run_for(secs(2));
 }
 
 /// The HTTP page `path` of each of these nodes; `None` from those that do not respond.
-fn fetch_pages(deployment: &Rc<Town>, nodes: &[Machine], path: &'static str) -> Vec<Option<String>> {
-    let (env, nodes) = (deployment.desk(), nodes.to_vec());
-    let out = deployment.at_desk(secs(10), async move {
-        let requests = nodes.iter().map(|n| fleet::ask(&env, n.http, "GET", path, ""));
+fn fetch_pages(deployment: &Rc<Deployment>, nodes: &[NodeProcess], path: &'static str) -> Vec<Option<String>> {
+    let (env, nodes) = (deployment.client_env(), nodes.to_vec());
+    let out = deployment.run_on_client_host(secs(10), async move {
+        let requests = nodes.iter().map(|n| fleet::send_request(&env, n.http, "GET", path, ""));
         futures::future::join_all(requests).await
     });
     let text = |page: Option<base::http::HttpResponse>| page.map(|p| String::from_utf8_lossy(&p.body).into_owned());
@@ -135,14 +145,14 @@
 }
 
 /// The highest configuration sequence number that any node reports.
-fn highest_sequence(deployment: &Rc<Town>) -> u64 {
-    let all = fetch_pages(deployment, &deployment.layout.spokes, "/status");
+fn highest_sequence(deployment: &Rc<Deployment>) -> u64 {
+    let all = fetch_pages(deployment, &deployment.layout.nodes, "/status");
     all.iter().flatten().map(|p| number_after(p, "\"sequence\":")).max().expect("a node responds")
 }
 
 /// Number and bytes of the snapshot deltas, then of the full snapshots, that all nodes received so far.
-fn snapshot_costs(deployment: &Rc<Town>) -> [u64; 4] {
-    let all = fetch_pages(deployment, &deployment.layout.spokes, "/metrics");
+fn snapshot_costs(deployment: &Rc<Deployment>) -> [u64; 4] {
+    let all = fetch_pages(deployment, &deployment.layout.nodes, "/metrics");
     let sum = |name: &str| all.iter().flatten().map(|p| metric(p, name)).sum();
     [sum("news_deltas_total"), sum("news_delta_bytes_total"), sum("news_whole_total"), sum("news_whole_bytes_total")]
 }
@@ -172,14 +182,14 @@
     for seed in 1..=2 {
         let deployment = settled_deployment(seed, 6);
         apply_changes(&deployment, vec![all_routes()]);
-        let restarted = deployment.layout.spokes[4].clone();
+        let restarted = deployment.layout.nodes[4].clone();
         deployment.kill(&restarted.name);
         apply_changes(&deployment, single_route_changes(MISSED_CHANGES));
         let want = highest_sequence(&deployment);
         let from = deployment.sim.now();
         deployment.start(&restarted.name);
         let page = loop {
-            deployment.sim.pass(Duration::from_millis(20));
+            deployment.sim.run_for(Duration::from_millis(20));
             let took = deployment.sim.now() - from;
             assert!(took < secs(3), "seed {seed}: not caught up after {took:?}");
             let page = fetch_pages(&deployment, std::slice::from_ref(&restarted), "/status").remove(0);
@@ -219,8 +229,8 @@
 impl ObservedSequences {
     /// Asserts for all nodes that adopted versions only rise while the process runs, and that no node serves with an
     /// older configuration than before.
-    fn check(&mut self, deployment: &Rc<Town>, seed: u64) {
-        let nodes = deployment.layout.spokes.clone();
+    fn check(&mut self, deployment: &Rc<Deployment>, seed: u64) {
+        let nodes = deployment.layout.nodes.clone();
         let journals = fetch_pages(deployment, &nodes, "/journal");
         for (node, journal) in nodes.iter().zip(&journals) {
             let versions = adopted_versions(journal.as_deref().unwrap_or_default());
@@ -241,10 +251,10 @@
 }
 
 /// The name of a node that has children in the relay tree.
-fn node_with_children(deployment: &Rc<Town>) -> String {
-    let all = fetch_pages(deployment, &deployment.layout.spokes, "/status");
-    let spokes = deployment.layout.spokes.iter().zip(all);
-    let mut parents = spokes.filter(|(_, p)| p.as_ref().is_some_and(|p| !p.contains("\"children\":[]")));
+fn node_with_children(deployment: &Rc<Deployment>) -> String {
+    let all = fetch_pages(deployment, &deployment.layout.nodes, "/status");
+    let nodes_with_pages = deployment.layout.nodes.iter().zip(all);
+    let mut parents = nodes_with_pages.filter(|(_, p)| p.as_ref().is_some_and(|p| !p.contains("\"children\":[]")));
     parents.next().map(|(m, _)| m.name.clone()).expect("some node has children")
 }
 
@@ -255,39 +265,39 @@
         let deployment = settled_deployment(seed, 15);
         apply_changes(&deployment, vec![all_routes()]);
         // Two nodes that reach no control node become children of other nodes.
-        act(&deployment, "n5", "part>h1,h2,h3");
-        act(&deployment, "n6", "part>h1,h2,h3");
-        deployment.sim.pass(secs(3));
+        apply_action(&deployment, "n5", "part>h1,h2,h3");
+        apply_action(&deployment, "n6", "part>h1,h2,h3");
+        deployment.sim.run_for(secs(3));
         let done = start_operator(&deployment, single_route_changes(SERIES_CHANGES), SERIES_PAUSE);
         let mut observed = ObservedSequences::default();
         let victims: [&dyn Fn() -> String; 3] = [&|| "n4".into(), &|| node_with_children(&deployment), &|| {
-            deployment.chief().expect("a control node leads")
+            deployment.leading_control_node().expect("a control node leads")
         }];
         for victim in victims {
             for _ in 0..6 {
-                deployment.sim.pass(Duration::from_millis(150));
+                deployment.sim.run_for(Duration::from_millis(150));
                 observed.check(&deployment, seed);
             }
             let victim = victim();
             deployment.kill(&victim);
             for _ in 0..4 {
-                deployment.sim.pass(Duration::from_millis(150));
+                deployment.sim.run_for(Duration::from_millis(150));
                 observed.check(&deployment, seed);
             }
             deployment.start(&victim);
         }
         while done.get() < SERIES_CHANGES as u64 {
-            deployment.sim.pass(Duration::from_millis(250));
+            deployment.sim.run_for(Duration::from_millis(250));
             observed.check(&deployment, seed);
             assert!(deployment.sim.now() < secs(600), "seed {seed}: {} changes made", done.get());
         }
-        deployment.sim.pass(secs(3));
+        deployment.sim.run_for(secs(3));
         observed.check(&deployment, seed);
-        let all = fetch_pages(&deployment, &deployment.layout.spokes, "/status");
+        let all = fetch_pages(&deployment, &deployment.layout.nodes, "/status");
         let want = highest_sequence(&deployment);
         let short: Vec<_> = all.iter().flatten().filter(|p| number_after(p, "\"sequence\":") != want).collect();
         assert!(all.iter().all(Option::is_some) && short.is_empty(), "seed {seed}: not at {want}: {short:?}");
-        let mismatches: u64 = fetch_pages(&deployment, &deployment.layout.spokes, "/metrics")
+        let mismatches: u64 = fetch_pages(&deployment, &deployment.layout.nodes, "/metrics")
             .iter()
             .flatten()
             .map(|p| metric(p, "news_mismatches_total"))
@@ -320,8 +330,8 @@
 }
 
 /// The metric lines with the number of kept entries, of each node.
-fn kept_entries(deployment: &Rc<Town>) -> Vec<String> {
-    let all = fetch_pages(deployment, &deployment.layout.spokes, "/metrics");
+fn kept_entries(deployment: &Rc<Deployment>) -> Vec<String> {
+    let all = fetch_pages(deployment, &deployment.layout.nodes, "/metrics");
     let lines =
         |p: String| p.lines().filter(|l| l.starts_with("portspoke_kept_entries")).collect::<Vec<_>>().join("\n");
     all.into_iter().flatten().map(lines).collect()
@@ -332,11 +342,11 @@
 fn two_thousand_changes_leave_no_more_state_than_twenty() {
     let deployment = settled_deployment(1, 3);
     apply_changes(&deployment, replacing_changes(0, 20));
-    deployment.sim.pass(secs(5));
+    deployment.sim.run_for(secs(5));
     let after_twenty = kept_entries(&deployment);
     assert!(!after_twenty.is_empty() && !after_twenty[0].is_empty());
     apply_changes(&deployment, replacing_changes(20, 2000));
-    deployment.sim.pass(secs(5));
+    deployment.sim.run_for(secs(5));
     assert_eq!(after_twenty, kept_entries(&deployment));
 }
 
@@ -357,7 +367,7 @@
             turn: 1,
             leaving: false,
         };
-        fleet::ask(&env, node_addr, "POST", "/report", &body.serialize_json()).await.expect("a response");
+        fleet::send_request(&env, node_addr, "POST", "/report", &body.serialize_json()).await.expect("a response");
     }
 }
 
@@ -371,19 +381,19 @@
         let mut changes = replacing_changes(i, i + 1);
         let last = changes.split_off(1);
         apply_changes(&deployment, changes);
-        let (env, node_addr) = (deployment.desk(), deployment.layout.spokes[0].http);
-        deployment.at_desk(secs(5), report(env, node_addr, format!("passing-{i}"), i + 1)).expect("reports");
-        deployment.sim.pass(secs(2));
+        let (env, node_addr) = (deployment.client_env(), deployment.layout.nodes[0].http);
+        deployment.run_on_client_host(secs(5), report(env, node_addr, format!("passing-{i}"), i + 1)).expect("reports");
+        deployment.sim.run_for(secs(2));
         let page = &kept_entries(&deployment)[0];
         max_observations = max_observations.max(number_after(page, "{of=\"sights\"} "));
         apply_changes(&deployment, last);
     }
     assert!(max_observations > number_after(&before[0], "{of=\"sights\"} "), "the nodes polled the added servers");
-    deployment.sim.pass(secs(30));
+    deployment.sim.run_for(secs(30));
     let remaining = kept_entries(&deployment);
     assert_eq!(without_routes(&before), without_routes(&remaining));
     // The nodes below a relay depend on the current tree, so only their maximum number is checked.
-    let nodes = (deployment.layout.hubs.len() + deployment.layout.spokes.len()) as u64;
+    let nodes = (deployment.layout.control_nodes.len() + deployment.layout.nodes.len()) as u64;
     assert!(remaining.iter().all(|page| number_after(page, "{of=\"routes\"} ") < nodes));
 }
 
--- a/pick/src/eligible_set.rs
+++ b/pick/src/eligible_set.rs
@@ -82,12 +82,12 @@
     }
 
     /// The eligible set; `None` before the first decision.
-    pub fn set(&self) -> Option<&[String]> {
+    pub fn servers(&self) -> Option<&[String]> {
         self.has_decision.then_some(&self.servers[..])
     }
 
     /// Past decisions, oldest first.
-    pub fn ring(&self) -> impl Iterator<Item = &Decision> {
+    pub fn history(&self) -> impl Iterator<Item = &Decision> {
         self.history.iter()
     }
 }
--- a/pick/src/window.rs
+++ b/pick/src/window.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A statement that succeeded.
-    Good,
+    Success,
     /// A statement that failed.
     Error,
     /// A statement that the server rejected because of overload.
@@ -21,7 +21,7 @@
     /// A position probe that was answered. Its response time is not counted, as it is no measure of that of statements.
     Probe,
     /// A position probe that was not answered.
-    Missed,
+    ProbeFailed,
 }
 
 /// The counters of one slice of the window.
@@ -100,13 +100,13 @@
         }
         self.count += 1;
         match outcome {
-            Outcome::Probe | Outcome::Missed => slice.probes += 1,
+            Outcome::Probe | Outcome::ProbeFailed => slice.probes += 1,
             _ => slice.count += 1,
         }
         match outcome {
-            Outcome::Good => slice.buckets[bucket(response_time)] += 1,
+            Outcome::Success => slice.buckets[bucket(response_time)] += 1,
             Outcome::Probe => {}
-            Outcome::Missed => {
+            Outcome::ProbeFailed => {
                 slice.missed += 1;
                 self.errors += 1;
             }
--- a/pick/tests/policy.rs
+++ b/pick/tests/policy.rs
@@ -46,7 +46,7 @@
     let error = set.evaluate(Duration::from_secs(60), MAX_AGE, &Policy::default(), &invalid).unwrap_err();
     assert_eq!((error.server.as_str(), error.field), ("a", "error_rate"));
     assert!(set.contains("a") && !set.contains("b"), "the last set is kept");
-    let last = set.ring().last().unwrap();
+    let last = set.history().last().unwrap();
     assert!(last.error.is_some() && last.servers.len() == 2);
 }
 
@@ -56,9 +56,9 @@
     for i in 0..10_000u64 {
         set.evaluate(Duration::from_millis(i), MAX_AGE, &Policy::default(), &[candidate("a", false, 0.0, 0)]).unwrap();
     }
-    assert_eq!(set.ring().count(), 4096);
+    assert_eq!(set.history().count(), 4096);
     set.evaluate(MAX_AGE * 2, MAX_AGE, &Policy::default(), &[candidate("a", false, 0.0, 0)]).unwrap();
-    assert_eq!(set.ring().count(), 1);
+    assert_eq!(set.history().count(), 1);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let mut window = Window::new(Duration::from_secs(60));
     let ms = Duration::from_millis;
     for i in 0..100u64 {
-        window.record(ms(i), Outcome::Good, ms(i + 1));
+        window.record(ms(i), Outcome::Success, ms(i + 1));
     }
     window.record(ms(100), Outcome::Error, ms(1));
     window.record(ms(100), Outcome::Throttled, ms(1));
@@ -89,8 +89,8 @@
     (0..10).for_each(|_| window.record(time, Outcome::Error, time));
     assert_eq!(window.metrics(time, 0).error_rate, 1.0);
     let mut window = Window::new(Duration::from_secs(60));
-    (0..90).for_each(|_| window.record(time, Outcome::Good, time));
-    (0..10).for_each(|_| window.record(time, Outcome::Missed, Duration::ZERO));
+    (0..90).for_each(|_| window.record(time, Outcome::Success, time));
+    (0..10).for_each(|_| window.record(time, Outcome::ProbeFailed, Duration::ZERO));
     assert_eq!(window.metrics(time, 0).error_rate, 1.0);
 }
 
--- a/spoke/src/execution/attempts.rs
+++ b/spoke/src/execution/attempts.rs
@@ -106,7 +106,7 @@
         store: &RefCell<SessionStore>,
         statement: &PendingStatement<'_>,
     ) -> HttpResponse {
-        if self.router.disabled.no_sends {
+        if self.router.disabled.no_attempt_ids {
             return self.write(store, statement).await;
         }
         let attempt_id = statement.request.attempt_id;
--- a/spoke/src/execution/mod.rs
+++ b/spoke/src/execution/mod.rs
@@ -106,7 +106,7 @@
         statements: &[(Verb, Bytes)],
         deadline: Duration,
     ) -> Result<(), CallError> {
-        if self.router.disabled.no_wipe {
+        if self.router.disabled.no_session_reset {
             return Ok(());
         }
         slot.apply_session_statements(owner, statements, deadline).await
@@ -134,7 +134,7 @@
         } else if metadata.failed {
             Outcome::Error
         } else {
-            Outcome::Good
+            Outcome::Success
         };
         self.health.record(key, slot.server(), outcome, self.env.now() - requested_at);
         if let Some(position) = metadata.position {
--- a/spoke/src/execution/write.rs
+++ b/spoke/src/execution/write.rs
@@ -87,7 +87,7 @@
                 Err(failure) => {
                     self.health.record(list_key, &target.server, pick::Outcome::Error, self.env.now() - requested_at);
                     drop(slot);
-                    if matches!(failure, SendFailure::Call(CallError::NotSent)) || self.router.disabled.resend {
+                    if matches!(failure, SendFailure::Call(CallError::NotSent)) || self.router.disabled.resend_writes {
                         continue;
                     }
                     // Its bytes may have been sent, so it must not be sent again.
--- a/spoke/src/health/mod.rs
+++ b/spoke/src/health/mod.rs
@@ -148,13 +148,13 @@
             key
         };
         let list = lists.entry(key.clone()).or_default();
-        list.has_new_measurements |= !matches!(outcome, Outcome::Probe | Outcome::Missed);
+        list.has_new_measurements |= !matches!(outcome, Outcome::Probe | Outcome::ProbeFailed);
         list.windows.entry(server.into()).or_insert_with(|| Window::new(window)).record(now, outcome, latency);
     }
 
     /// Records the outcome of a position read in every list of the server's group.
     fn record_probe(&self, server: &str, succeeded: bool) {
-        let outcome = if succeeded { Outcome::Probe } else { Outcome::Missed };
+        let outcome = if succeeded { Outcome::Probe } else { Outcome::ProbeFailed };
         let keys: Vec<ListKey> = {
             let view = self.journal.view();
             let Some(image) = &view.image else { return };
--- a/spoke/src/health/select.rs
+++ b/spoke/src/health/select.rs
@@ -34,7 +34,7 @@
                 .lists
                 .borrow()
                 .iter()
-                .filter(|(_, l)| l.eligible.set().is_none())
+                .filter(|(_, l)| l.eligible.servers().is_none())
                 .map(|(k, _)| k.clone())
                 .collect();
             self.evaluate_all(&new_lists, now).await;
@@ -64,13 +64,13 @@
                 let Some(text) = self.evaluate(key, now) else { continue };
                 changed += 1;
                 if changed <= MAX_LISTS_LOGGED {
-                    self.env.log(Component::Pick, text);
+                    self.env.log(Component::Selection, text);
                 }
             }
             self.env.yield_now().await;
         }
         if changed > MAX_LISTS_LOGGED {
-            self.env.log(Component::Pick, format!("{} more lists changed", changed - MAX_LISTS_LOGGED));
+            self.env.log(Component::Selection, format!("{} more lists changed", changed - MAX_LISTS_LOGGED));
         }
     }
 
@@ -123,9 +123,9 @@
         let window = Duration::from_millis(settings.window_ms);
         list.windows.values_mut().for_each(|w| w.resize(window));
         list.windows.retain(|server, _| candidates.iter().any(|c| c.name == *server));
-        let before = list.eligible.set().map(<[_]>::to_vec);
+        let before = list.eligible.servers().map(<[_]>::to_vec);
         let result = list.eligible.evaluate(now, Duration::from_millis(settings.history_ms), &policy, &candidates);
-        let after = list.eligible.set().map(<[_]>::to_vec);
+        let after = list.eligible.servers().map(<[_]>::to_vec);
         if let Err(error) = result {
             return Some(format!("evaluation of {} failed, the last set stays: {error}", key.0));
         }
@@ -136,7 +136,7 @@
     fn refill_sample_budgets(&self, count: u64) {
         let mut lists = self.lists.borrow_mut();
         for list in lists.values_mut() {
-            let Some(decision) = list.eligible.ring().last() else { continue };
+            let Some(decision) = list.eligible.history().last() else { continue };
             list.sample_budget =
                 decision.servers.iter().filter(|r| !r.eligible).map(|r| (r.name.clone(), count)).collect();
         }
--- a/spoke/src/http_endpoint/status.rs
+++ b/spoke/src/http_endpoint/status.rs
@@ -231,8 +231,8 @@
             ("readings_total", "counter", "log positions asked for", counts.readings),
             ("corrupt_frames_total", "counter", "links closed on a corrupt frame", counts.corrupt),
             ("relayed_frames_total", "counter", "frames handed on for others", counts.relayed),
-            ("news_whole_total", "counter", "news that came whole", snapshots.whole.get()),
-            ("news_whole_bytes_total", "counter", "bytes of news that came whole", snapshots.whole_bytes.get()),
+            ("news_whole_total", "counter", "news that came whole", snapshots.full.get()),
+            ("news_whole_bytes_total", "counter", "bytes of news that came whole", snapshots.full_bytes.get()),
             ("news_deltas_total", "counter", "news that came as a delta", snapshots.deltas.get()),
             ("news_delta_bytes_total", "counter", "bytes of news that came as deltas", snapshots.delta_bytes.get()),
             (
@@ -254,7 +254,7 @@
                 "servers that this node may open no connection to",
                 self.context.pools.without_share() as u64,
             ),
-            ("loop_lag_ms", "gauge", "how late tasks ran when last measured", ms(self.loop_lag.newest())),
+            ("loop_lag_ms", "gauge", "how late tasks ran when last measured", ms(self.loop_lag.latest())),
             ("loop_lag_worst_ms", "gauge", "how late tasks ran at worst", ms(self.loop_lag.worst())),
         ]);
         let mut text = String::from_utf8_lossy(&response.body).into_owned();
@@ -298,7 +298,7 @@
             ("leads", view.primary_leases.len()),
             ("zones", view.evacuated_since.len()),
             ("pools", self.context.pools.all().len()),
-            ("routes", self.relay.routes()),
+            ("routes", self.relay.route_count()),
         ]
     }
 
@@ -308,7 +308,7 @@
             |((database, kind), list): (&crate::health::ListKey, &crate::health::SelectionList)| SelectionListRow {
                 database: database.clone(),
                 kind: kind.clone(),
-                eligible: list.eligible.set().map(<[_]>::to_vec).unwrap_or_default(),
+                eligible: list.eligible.servers().map(<[_]>::to_vec).unwrap_or_default(),
                 weights: list
                     .weights
                     .iter()
@@ -343,7 +343,7 @@
             p99: server.metrics.p99,
             lag: server.metrics.lag,
         };
-        let decisions: Vec<_> = list.eligible.ring().collect();
+        let decisions: Vec<_> = list.eligible.history().collect();
         decisions
             .into_iter()
             .rev()
--- a/spoke/src/lib.rs
+++ b/spoke/src/lib.rs
@@ -12,5 +12,5 @@
 mod view;
 
 pub use execution::Attempts;
-pub use on_platform::PlatformSpoke;
+pub use on_platform::PlatformNode;
 pub use run::{DisabledGuards, Node, run, run_with_protocol};
--- a/spoke/src/on_platform.rs
+++ b/spoke/src/on_platform.rs
@@ -10,12 +10,12 @@
     settings::NodeConfig,
     supervisor::Supervisor,
 };
-use platform::Given;
+use platform::PlatformSettings;
 
 use crate::{DisabledGuards, Node, run_with_protocol};
 
 /// A node that serves clients over the platform protocol.
-pub struct PlatformSpoke {
+pub struct PlatformNode {
     env: Env,
     pub node: Node,
     endpoint: Endpoint,
@@ -40,7 +40,7 @@
     loop {
         let is_ready = host.is_ready();
         if was_ready && !is_ready {
-            env.log(Component::Door, "nothing can be served here now; closing idle sessions");
+            env.log(Component::Endpoint, "nothing can be served here now; closing idle sessions");
             endpoint.state_changed.notify_waiters();
         }
         was_ready = is_ready;
@@ -53,18 +53,23 @@
 /// The largest request body that the readiness endpoint accepts.
 const MAX_PROBE_BODY_BYTES: usize = 1 << 10;
 
-impl PlatformSpoke {
+impl PlatformNode {
     /// Starts the node. It runs for as long as the returned value lives.
     ///
     /// # Errors
     /// If one of its addresses can't be listened on.
-    pub async fn start(env: &Env, settings: &Given, config: &NodeConfig, disabled: DisabledGuards) -> io::Result<Self> {
-        let node = run_with_protocol(env, config, disabled, Some(platform::Speech::shared())).await?;
+    pub async fn start(
+        env: &Env,
+        settings: &PlatformSettings,
+        config: &NodeConfig,
+        disabled: DisabledGuards,
+    ) -> io::Result<Self> {
+        let node = run_with_protocol(env, config, disabled, Some(platform::PlatformProtocol::shared())).await?;
         let host = node.session_provider();
         let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
         let readiness_endpoint = Endpoint::new(MAX_PROBE_CONNECTIONS, MAX_PROBE_BODY_BYTES);
         let mut tree = Supervisor::new(env);
-        if let Some(addr) = settings.access {
+        if let Some(addr) = settings.client_address {
             let listener = bind(env, addr).await?;
             let (child_env, child_endpoint, child_host) = (env.clone(), endpoint.clone(), host.clone());
             let interval = config.bounds.control_heartbeat();
@@ -73,29 +78,30 @@
             });
             let (child_env, child_endpoint, child_host) = (env.clone(), endpoint.clone(), host.clone());
             tree.child("access", move || {
-                platform::serve(child_env.clone(), listener.clone(), child_endpoint.clone(), child_host.clone())
+                platform::serve_clients(child_env.clone(), listener.clone(), child_endpoint.clone(), child_host.clone())
             });
         }
-        if let Some(addr) = settings.ready {
+        if let Some(addr) = settings.readiness_address {
             let listener = bind(env, addr).await?;
             let client_endpoint = endpoint.clone();
             let new_probe = Rc::new(move || {
                 let leaving = client_endpoint.draining.clone();
-                Rc::new(platform::Probe { host: host.clone(), leaving }) as Rc<dyn http::RequestHandler>
+                Rc::new(platform::ReadinessProbe { provider: host.clone(), draining: leaving })
+                    as Rc<dyn http::RequestHandler>
             });
             let (child_env, child_endpoint) = (env.clone(), readiness_endpoint.clone());
             tree.child("ready", move || {
                 http::serve(child_env.clone(), listener.clone(), child_endpoint.clone(), new_probe.clone())
             });
         }
-        let grace = Duration::from_millis(settings.grace);
+        let grace = Duration::from_millis(settings.grace_ms);
         Ok(Self { env: env.clone(), node, endpoint, grace, _tree: tree })
     }
 
     /// Shuts the node down. It reports itself as not ready and serves on until that is known to clients (5/12 of the
     /// grace period); then it closes each session that has no open transaction. Open transactions may end until half of
     /// the grace period. Statements that are still running at 10/12 are aborted, and their clients get an error.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let start = self.env.now();
         self.endpoint.draining.set(true);
         self.env.sleep(self.grace * 5 / 12).await;
--- a/spoke/src/pool/slot.rs
+++ b/spoke/src/pool/slot.rs
@@ -152,7 +152,7 @@
     ) -> Result<(), CallError> {
         let statement = Statement { name: name.into(), text: text.into(), ..Statement::internal(kind) };
         match self.execute(&statement, None, deadline).await?.outcome {
-            ServerOutcome::Done(_) => Ok(()),
+            ServerOutcome::Executed(_) => Ok(()),
             _ => {
                 self.taint();
                 Err(CallError::NotSent)
--- a/spoke/src/protocol/attempt.rs
+++ b/spoke/src/protocol/attempt.rs
@@ -115,7 +115,7 @@
         self.health.record_sent(&server);
         let prepared = state.prepared.as_ref().map(|(writes, text)| (text.as_str(), *writes));
         let no_values = BTreeMap::new();
-        let values = if self.router.disabled.no_wipe { &no_values } else { &state.values };
+        let values = if self.router.disabled.no_session_reset { &no_values } else { &state.values };
         let name = slot.apply_session_values(values, prepared, deadline).await.map_err(|_| {
             self.health.record(list_key, &server, Outcome::Error, self.env.now() - requested_at);
             AttemptError::NotRun(ErrorKind::NoServer)
@@ -142,22 +142,22 @@
         };
         self.health.record_response(&server, requested_at, reply.position);
         let (outcome, error) = match &reply.outcome {
-            ServerOutcome::Done(_) => (Outcome::Good, None),
+            ServerOutcome::Executed(_) => (Outcome::Success, None),
             ServerOutcome::Refused(RefusalReason::Busy) => {
                 (Outcome::Throttled, Some(AttemptError::NotRun(ErrorKind::Overloaded)))
             }
             ServerOutcome::Refused(RefusalReason::Behind) => {
-                (Outcome::Good, Some(AttemptError::NotRun(ErrorKind::NoServer)))
+                (Outcome::Success, Some(AttemptError::NotRun(ErrorKind::NoServer)))
             }
             ServerOutcome::Refused(RefusalReason::NotPrimary) => {
-                (Outcome::Good, Some(AttemptError::NotRun(ErrorKind::NoPrimary)))
+                (Outcome::Success, Some(AttemptError::NotRun(ErrorKind::NoPrimary)))
             }
             ServerOutcome::Refused(RefusalReason::WrongServer | RefusalReason::UnknownPreparedName) => {
                 slot.taint();
                 (Outcome::Error, Some(AttemptError::NotRun(ErrorKind::NoServer)))
             }
             ServerOutcome::Failed => (Outcome::Error, Some(AttemptError::Failed(ErrorKind::ServerFailed))),
-            ServerOutcome::Expired => (Outcome::Error, Some(AttemptError::Failed(ErrorKind::DeadlineExceeded))),
+            ServerOutcome::TimedOut => (Outcome::Error, Some(AttemptError::Failed(ErrorKind::DeadlineExceeded))),
         };
         self.health.record(list_key, &server, outcome, latency);
         error.map_or(Ok(reply), Err)
--- a/spoke/src/protocol/read.rs
+++ b/spoke/src/protocol/read.rs
@@ -176,7 +176,7 @@
 }
 
 fn read_response(reply: ServerReply) -> StatementResponse {
-    let ServerOutcome::Done(tag) = reply.outcome else {
+    let ServerOutcome::Executed(tag) = reply.outcome else {
         return response(Err(StatementError::outcome_unknown(ErrorKind::ServerFailed)), None);
     };
     StatementResponse { rows: reply.rows, ..response(Ok(tag), reply.position) }
--- a/spoke/src/protocol/transaction.rs
+++ b/spoke/src/protocol/transaction.rs
@@ -41,7 +41,7 @@
         let result = transaction.slot.execute(&Statement::internal(StatementKind::Rollback), None, deadline).await;
         if !matches!(
             &result,
-            Ok(reply) if reply.transaction == TransactionState::Idle && matches!(reply.outcome, ServerOutcome::Done(_))
+            Ok(reply) if reply.transaction == TransactionState::Idle && matches!(reply.outcome, ServerOutcome::Executed(_))
         ) {
             transaction.slot.taint();
         }
@@ -118,7 +118,7 @@
     ) -> StatementResponse {
         match result {
             Ok(reply) => {
-                let ServerOutcome::Done(tag) = reply.outcome else {
+                let ServerOutcome::Executed(tag) = reply.outcome else {
                     return self.fail(session, StatementError::not_committed(ErrorKind::TransactionLost));
                 };
                 session.borrow_mut().transaction = Some(transaction);
@@ -218,7 +218,7 @@
         deadline: Duration,
         tried: &mut Vec<String>,
     ) -> Result<Slot, ErrorKind> {
-        let read_only = begin.kind == StatementKind::Begin { reads: true };
+        let read_only = begin.kind == StatementKind::Begin { read_only: true };
         let last_commit = session.borrow().last_commit;
         let (mut slot, target) = if read_only && route.consistency != Consistency::Leader {
             let target = match self.router.route_confirmed_read(route, list_key, last_commit, tried) {
@@ -301,7 +301,7 @@
                 if reply.transaction != TransactionState::Idle {
                     transaction.slot.taint();
                 }
-                let ServerOutcome::Done(tag) = reply.outcome else {
+                let ServerOutcome::Executed(tag) = reply.outcome else {
                     return response(Err(StatementError::outcome_unknown(ErrorKind::OutcomeUnknown)), None);
                 };
                 if let Some(position) = reply.position.filter(|_| transaction.has_writes) {
--- a/spoke/src/protocol/write.rs
+++ b/spoke/src/protocol/write.rs
@@ -33,13 +33,13 @@
             Err(kind) => return not_committed(kind),
         };
         let state = RequiredState::for_statement(&session.borrow(), statement.statement());
-        let copy = self.router.disabled.resend.then(|| statement.statement().clone());
+        let copy = self.router.disabled.resend_writes.then(|| statement.statement().clone());
         loop {
             let kind = match self.acquire_primary_slot(&route.group, deadline).await {
                 Err(kind) => kind,
                 Ok((mut slot, _)) => match self.send_once(&mut slot, &list_key, statement, &state, deadline).await {
                     Ok(reply) => {
-                        let ServerOutcome::Done(tag) = reply.outcome else {
+                        let ServerOutcome::Executed(tag) = reply.outcome else {
                             return not_committed(ErrorKind::ServerFailed);
                         };
                         if let Some(position) = reply.position {
--- a/spoke/src/routing/mod.rs
+++ b/spoke/src/routing/mod.rs
@@ -96,14 +96,14 @@
     pub fn is_confirmed(&self) -> bool {
         let view = self.journal.view();
         let fresh = view.confirmed_at.is_some_and(|t| self.env.now() <= t + self.bounds.confirmation_validity());
-        fresh || (self.disabled.no_confirm && view.image.is_some())
+        fresh || (self.disabled.no_confirmation && view.image.is_some())
     }
 
     /// Checks whether work may be done, given that the zone was evacuated for less than `grace`.
     fn check_service(&self, grace: Duration) -> Result<(), ErrorKind> {
         let evacuated =
             self.journal.view().evacuated_since.get(&self.zone).is_some_and(|t| self.env.now() >= *t + grace);
-        if evacuated && !self.disabled.no_empty && !self.serve_in_evacuated_zone {
+        if evacuated && !self.disabled.no_evacuation && !self.serve_in_evacuated_zone {
             return Err(ErrorKind::ZoneEvacuated);
         }
         if self.is_confirmed() { Ok(()) } else { Err(ErrorKind::Unconfirmed) }
@@ -125,8 +125,8 @@
             consistency,
             fallback_to_primary: route.fallback,
             statement_timeout: configured(route.statement_ms),
-            target_latency: configured(route.aim_ms),
-            max_staleness: configured(route.fresh_ms),
+            target_latency: configured(route.target_latency_ms),
+            max_staleness: configured(route.max_staleness_ms),
         })
     }
 
@@ -147,7 +147,7 @@
     fn is_excluded(&self, view: &View, server: &str, is_primary: bool) -> bool {
         let now = self.env.now();
         let Some(state) = view.servers.get(server) else { return true };
-        let evacuated_since = view.evacuated_since.get(&state.zone).copied().filter(|_| !self.disabled.no_empty);
+        let evacuated_since = view.evacuated_since.get(&state.zone).copied().filter(|_| !self.disabled.no_evacuation);
         if is_primary {
             // A primary keeps working until its successor takes over, but no longer than the grace period.
             let since = [state.draining_since, evacuated_since].into_iter().flatten().min();
@@ -155,7 +155,7 @@
         }
         let failing = self.health.observation(server).failed_reads > 0;
         (state.draining_since.is_some() || state.gone_since.is_some() || evacuated_since.is_some() || failing)
-            && !self.disabled.no_veto
+            && !self.disabled.no_exclusion
     }
 
     /// Whether the target is still a member of its group and not excluded.
@@ -164,14 +164,14 @@
         let view = self.journal.view();
         let allowed =
             view.image.as_ref().and_then(|i| i.group_of(&target.server)).is_some_and(|g| g.name == target.group);
-        (allowed || self.disabled.no_group) && !self.is_excluded(&view, &target.server, is_primary)
+        (allowed || self.disabled.no_group_check) && !self.is_excluded(&view, &target.server, is_primary)
     }
 
     /// The primary of a group under a lease that is valid now.
     fn valid_lease(&self, view: &View, group: &str) -> Result<Target, ErrorKind> {
         let now = self.env.now();
         let lease = view.primary_leases.get(group).ok_or(ErrorKind::NoPrimary)?;
-        if now >= lease.valid_until && !self.disabled.no_fence {
+        if now >= lease.valid_until && !self.disabled.no_lease_check {
             return Err(ErrorKind::NoPrimary);
         }
         if self.is_excluded(view, &lease.server, true) {
@@ -227,8 +227,8 @@
         let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == route.group)) else {
             return RouteDecision::Reject(ErrorKind::NoDatabase);
         };
-        let all_servers = view.servers.keys().filter(|_| self.disabled.no_group);
-        let group_servers = group.servers.iter().filter(|_| !self.disabled.no_group);
+        let all_servers = view.servers.keys().filter(|_| self.disabled.no_group_check);
+        let group_servers = group.servers.iter().filter(|_| !self.disabled.no_group_check);
         let available: Vec<&String> = group_servers
             .chain(all_servers)
             .filter(|s| Some(*s) != primary_name.as_ref() && !tried.contains(s))
@@ -259,7 +259,7 @@
                     token.read_floor == Position::default() || self.health.has_position(server, token.read_floor);
                 reached.then_some(Condition::AtLeast { position: token.read_floor })
             }
-            Consistency::Bound if self.disabled.no_fresh => Some(unconditional),
+            Consistency::Bound if self.disabled.no_freshness_check => Some(unconditional),
             Consistency::Bound => {
                 // A sixth of the bound is reserved for the round trip.
                 let max_age = self.bounds.freshness_bound() * 5 / 6;
@@ -333,7 +333,8 @@
     pub fn holds_lease(&self, target: &Target) -> bool {
         let view = self.journal.view();
         let lease = view.primary_leases.get(&target.group);
-        lease.is_some_and(|l| l.server == target.server && self.env.now() < l.valid_until) || self.disabled.no_fence
+        lease.is_some_and(|l| l.server == target.server && self.env.now() < l.valid_until)
+            || self.disabled.no_lease_check
     }
 
     /// Selects the server for a read of a group whose servers confirm commits, and the position that the server itself
@@ -357,7 +358,7 @@
                 let last_commit = if self.disabled.no_token { Position::default() } else { last_commit };
                 let head =
                     self.health.primary_position_since(&route.group, since).map(|(_, head)| head.max(last_commit));
-                if self.disabled.no_fresh { Some(Position::default()) } else { head }
+                if self.disabled.no_freshness_check { Some(Position::default()) } else { head }
             }
         };
         let attempts_at = |s: &String| tried.iter().filter(|t| *t == s).count();
@@ -413,7 +414,7 @@
                 let view = self.journal.view();
                 let lease = view.primary_leases.get(&target.group);
                 let valid = lease.is_some_and(|l| l.epoch == epoch && l.server == target.server && now < l.valid_until);
-                valid || self.disabled.no_fence
+                valid || self.disabled.no_lease_check
             }
             Condition::PrimaryPosition { requested_at, .. } => now <= requested_at + self.bounds.freshness_bound(),
             Condition::AtLeast { .. } => true,
@@ -423,7 +424,7 @@
     /// Whether the response's metadata satisfies the target's condition. A server that came back without part of its
     /// log, or that is no longer primary, shows it there.
     pub fn is_satisfied_by(&self, target: &Target, metadata: &ResponseMetadata) -> bool {
-        if self.disabled.grow {
+        if self.disabled.keep_highest_position {
             return true;
         }
         let reached =
@@ -445,11 +446,11 @@
         let Some(group) = view.image.as_ref().and_then(|i| i.groups.iter().find(|g| g.name == target.group)) else {
             return false;
         };
-        if self.disabled.no_second {
+        if self.disabled.no_second_copy {
             return true;
         }
         // A primary whose log lost entries assigns the same positions twice.
-        if !self.health.counts_as_copy(&target.server) && !self.disabled.grow {
+        if !self.health.counts_as_copy(&target.server) && !self.disabled.keep_highest_position {
             return false;
         }
         if group.servers.len() == 1 {
--- a/spoke/src/run.rs
+++ b/spoke/src/run.rs
@@ -37,35 +37,35 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DisabledGuards {
     /// Send a write again although its bytes may have been sent.
-    pub resend: bool,
+    pub resend_writes: bool,
     /// Use primary leases that have expired.
-    pub no_fence: bool,
+    pub no_lease_check: bool,
     /// Acknowledge commits without a second copy.
-    pub no_second: bool,
+    pub no_second_copy: bool,
     /// Read from replicas regardless of their position.
-    pub no_fresh: bool,
+    pub no_freshness_check: bool,
     /// Serve without the leading control node's confirmation, and use shares that have expired.
-    pub no_confirm: bool,
+    pub no_confirmation: bool,
     /// Send statements to draining and unreachable servers and to servers in evacuated zones.
-    pub no_veto: bool,
+    pub no_exclusion: bool,
     /// Keep working in an evacuated zone.
-    pub no_empty: bool,
+    pub no_evacuation: bool,
     /// Reuse a connection with the session state that is applied on it.
-    pub no_wipe: bool,
+    pub no_session_reset: bool,
     /// Reuse a connection with the transaction that its client left open.
     pub no_rollback: bool,
     /// Read from replicas regardless of what the session wrote before.
     pub no_token: bool,
     /// Execute an attempt each time it arrives.
-    pub no_sends: bool,
+    pub no_attempt_ids: bool,
     /// Accept a truncated body as complete.
-    pub cut_bodies: bool,
+    pub accept_truncated_bodies: bool,
     /// Read from any server, regardless of the route's group.
-    pub no_group: bool,
+    pub no_group_check: bool,
     /// Keep each server's highest position, even after its log lost entries.
-    pub grow: bool,
+    pub keep_highest_position: bool,
     /// Close at once on shutdown.
-    pub no_linger: bool,
+    pub no_graceful_shutdown: bool,
 }
 
 /// A connection to a scarce server may be idle for this fraction of a lease's duration.
@@ -202,7 +202,7 @@
         }
         for (name, pool) in self.all() {
             let share = journal.view().shares.get(&name).copied();
-            let share = share.filter(|share| now < share.valid_until || self.disabled.no_confirm);
+            let share = share.filter(|share| now < share.valid_until || self.disabled.no_confirmation);
             let limit = share.map_or(0, |share| share.count as usize);
             pool.scarce.set(share.is_some_and(|share| share.scarce));
             pool.sharers.set(share.map_or(1, |share| share.sharers));
@@ -240,7 +240,7 @@
         let view = self.journal.view();
         for (name, pool) in self.pools.all() {
             let count = pool.limit().max(pool.open()) as u64;
-            heartbeat.shares.push(HeldShare { server: name.clone(), count, want: pool.wanted() as u64 });
+            heartbeat.shares.push(HeldShare { server: name.clone(), count, wanted: pool.wanted() as u64 });
             if pool.limit() > 0 {
                 let observation = self.health.observation(&name);
                 let unresponsive_since = observation.unresponsive_since(pool.connecting_since());
@@ -260,7 +260,7 @@
                 };
                 heartbeat.observations.push(ServerObservation {
                     server: name,
-                    age,
+                    age_ms: age,
                     epoch: observation.position.epoch,
                     index: observation.position.index,
                     refused: observation.refused_connections > 1,
@@ -352,7 +352,13 @@
         disabled,
         protocol,
     );
-    let health = HealthMeasurements::new(env, journal.clone(), bounds.clone(), config.policy.clone(), disabled.grow);
+    let health = HealthMeasurements::new(
+        env,
+        journal.clone(),
+        bounds.clone(),
+        config.policy.clone(),
+        disabled.keep_highest_position,
+    );
     let relay = Relay::new(env, identity.clone(), bounds.clone());
     relay.set_handler(Rc::new(NodeRelayHandler {
         env: env.clone(),
@@ -363,7 +369,7 @@
         max_report_age: bounds.server_missed_after() * 2,
     }));
     let endpoint = Endpoint::new(config.max_sessions, config.max_body_bytes);
-    endpoint.accept_truncated_bodies.set(disabled.cut_bodies);
+    endpoint.accept_truncated_bodies.set(disabled.accept_truncated_bodies);
     let router = Router {
         env: env.clone(),
         name: config.name.clone(),
@@ -417,19 +423,19 @@
 
 impl Node {
     /// Applies a changed selection policy; all eligible sets are evaluated again at once.
-    pub fn policy(&self, new: &PolicySettings) {
+    pub fn apply_policy(&self, new: &PolicySettings) {
         if *self.health.policy.borrow() == *new {
             return;
         }
         *self.health.policy.borrow_mut() = new.clone();
         self.health.policy_changed.notify_waiters();
-        self.env.log(Component::Pick, "the policy was changed");
+        self.env.log(Component::Selection, "the policy was changed");
     }
 
     /// Shuts the node down: closes its endpoint once the open sessions have ended or their time is over, and releases
     /// leases and shares.
-    pub async fn leave(&self) {
-        if !self.context.router.disabled.no_linger {
+    pub async fn shut_down(&self) {
+        if !self.context.router.disabled.no_graceful_shutdown {
             // From now on each response asks its client to reconnect to another node; after the grace period, idle
             // sessions are closed.
             self.endpoint.close();
--- a/spoke/src/view/apply.rs
+++ b/spoke/src/view/apply.rs
@@ -84,8 +84,8 @@
                 addr: server.addr.clone(),
                 zone: server.zone.clone(),
                 draining_since: since(old.and_then(|o| o.draining_since), server.draining),
-                gone_since: since(old.and_then(|o| o.gone_since), server.gone),
-                cold: f64::from(server.cold) / 1000.0,
+                gone_since: since(old.and_then(|o| o.gone_since), server.unreachable),
+                cold: f64::from(server.coldness_permille) / 1000.0,
             };
             self.servers.insert(server.name.clone(), new);
         }
--- a/wire/src/consensus.rs
+++ b/wire/src/consensus.rs
@@ -42,7 +42,7 @@
     pub incarnation: u64,
     /// The voter's disk holds no image, or only a recovered one (see [`crate::Hello::rescued`]).
     #[prost(bool, tag = "4")]
-    pub empty: bool,
+    pub has_no_image: bool,
     #[prost(uint64, tag = "5")]
     pub nonce: u64,
 }
@@ -101,7 +101,7 @@
     pub incarnation: u64,
     /// The sender's disk holds no image, or only a recovered one (see [`crate::Hello::rescued`]).
     #[prost(bool, tag = "6")]
-    pub empty: bool,
+    pub has_no_image: bool,
     /// The sender follows the leader in this term and has synced what the heartbeat carried.
     #[prost(bool, tag = "7")]
     pub accepted: bool,
--- a/wire/src/image.rs
+++ b/wire/src/image.rs
@@ -109,10 +109,10 @@
     pub statement_ms: u64,
     /// The target response time in milliseconds; 0 if none is set.
     #[prost(uint64, tag = "7")]
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// How old a commit that a read misses may be, in milliseconds; 0 for the freshness bound.
     #[prost(uint64, tag = "8")]
-    pub fresh_ms: u64,
+    pub max_staleness_ms: u64,
     /// The priority; 0 is served first.
     #[prost(uint64, tag = "9")]
     pub rank: u64,
--- a/wire/src/link.rs
+++ b/wire/src/link.rs
@@ -220,7 +220,7 @@
                     None => continue,
                 },
                 Body::Hello(hello) => {
-                    self.accepts_pieces.set(hello.pieces);
+                    self.accepts_pieces.set(hello.accepts_pieces);
                     return Ok(Some(Body::Hello(hello)));
                 }
                 body => return Ok(Some(body)),
--- a/wire/src/message.rs
+++ b/wire/src/message.rs
@@ -64,7 +64,7 @@
     pub zone: String,
     /// Whether the sender is a control node.
     #[prost(bool, tag = "3")]
-    pub hub: bool,
+    pub is_control_node: bool,
     /// The address at which the sender accepts links.
     #[prost(string, tag = "4")]
     pub peer: String,
@@ -76,7 +76,7 @@
     pub incarnation: u64,
     /// On control nodes: the disk holds no image, or only a recovered one (see `rescued`).
     #[prost(bool, tag = "7")]
-    pub empty: bool,
+    pub has_no_image: bool,
     /// A digest of the sender's bounds; 0 from builds that do not send it.
     #[prost(uint64, tag = "8")]
     pub bounds_digest: u64,
@@ -85,14 +85,14 @@
     pub rescued: bool,
     /// Whether the sender accepts snapshots as deltas; false from builds that need full snapshots.
     #[prost(bool, tag = "10")]
-    pub deltas: bool,
+    pub accepts_deltas: bool,
     /// On control nodes: the disk was first used at the first start of the whole system.
     #[prost(bool, tag = "11")]
     pub may_form: bool,
     /// Whether the sender accepts large frames in pieces, and deltas of the image; false from builds that need them
     /// whole.
     #[prost(bool, tag = "12")]
-    pub pieces: bool,
+    pub accepts_pieces: bool,
 }
 
 /// A node's heartbeat, which goes up the tree to the leader.
@@ -137,7 +137,7 @@
     pub last_ack_nonce: u64,
     /// Whether the sender is a control node.
     #[prost(bool, tag = "15")]
-    pub hub: bool,
+    pub is_control_node: bool,
     /// A digest of the node's bounds; 0 from builds that do not send it.
     #[prost(uint64, tag = "16")]
     pub bounds_digest: u64,
@@ -153,7 +153,7 @@
     pub count: u64,
     /// The connections that the node could use.
     #[prost(uint64, tag = "3")]
-    pub want: u64,
+    pub wanted: u64,
 }
 
 /// What a node observes of a server over its own connections.
@@ -163,7 +163,7 @@
     pub server: String,
     /// Milliseconds since the server last answered this node.
     #[prost(uint64, tag = "2")]
-    pub age: u64,
+    pub age_ms: u64,
     /// With `index`, the position of the server's log.
     #[prost(uint64, tag = "3")]
     pub epoch: u64,
@@ -317,10 +317,10 @@
     pub draining: bool,
     /// Unreachable: it has not been seen within [`base::Bounds::server_gone_after`], or has deregistered.
     #[prost(bool, tag = "5")]
-    pub gone: bool,
+    pub unreachable: bool,
     /// How much of its warm-up is left, in thousandths.
     #[prost(uint32, tag = "6")]
-    pub cold: u32,
+    pub coldness_permille: u32,
     #[prost(bool, tag = "7")]
     pub is_primary: bool,
     #[prost(uint64, tag = "8")]
@@ -333,7 +333,7 @@
     pub report_seq: u64,
     /// It has deregistered: its last report announced that it is shutting down.
     #[prost(bool, tag = "11")]
-    pub left: bool,
+    pub deregistered: bool,
 }
 
 /// A node, as its last heartbeat describes it.
--- a/wire/src/relay/forwarding.rs
+++ b/wire/src/relay/forwarding.rs
@@ -24,9 +24,9 @@
 #[derive(Default)]
 pub struct DisabledGuards {
     /// Execute a request however late it arrives.
-    pub any_age: Cell<bool>,
+    pub accept_expired_requests: Cell<bool>,
     /// Accept a response that was meant for an earlier run of this process.
-    pub any_boot: Cell<bool>,
+    pub accept_other_boot_ids: Cell<bool>,
 }
 
 /// When the newest heartbeats of one run of a node's process arrived.
@@ -40,9 +40,9 @@
 /// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ForwardError {
-    #[error("no path to the leading hub")]
+    #[error("no path to the leading control node")]
     NotSent,
-    #[error("no response from the leading hub")]
+    #[error("no response from the leading control node")]
     NoResponse,
 }
 
@@ -86,7 +86,7 @@
 
 impl Relay {
     /// How many requests await a response.
-    pub fn awaited(&self) -> usize {
+    pub fn pending_request_count(&self) -> usize {
         self.pending_requests.borrow().len()
     }
 
@@ -117,7 +117,7 @@
     /// leader: the request is then rejected, and the origin has to send it again.
     pub(super) fn is_in_time(&self, request: &ForwardedRequest) -> bool {
         let is_own = request.origin == self.identity.name && request.boot_id == self.identity.boot_id;
-        if !request.at_most_once || is_own || self.guards.any_age.get() {
+        if !request.at_most_once || is_own || self.disabled_guards.accept_expired_requests.get() {
             return true;
         }
         let arrivals = self.arrived_heartbeats.borrow();
@@ -130,7 +130,7 @@
 
     /// Passes a response to the request that awaits it, if there is still one.
     pub(super) fn on_response(&self, response: ForwardedResponse) {
-        if response.boot_id != self.identity.boot_id && !self.guards.any_boot.get() {
+        if response.boot_id != self.identity.boot_id && !self.disabled_guards.accept_other_boot_ids.get() {
             return;
         }
         if let Some(done) = self.pending_requests.borrow_mut().remove(&response.nonce) {
--- a/wire/src/relay/join.rs
+++ b/wire/src/relay/join.rs
@@ -61,7 +61,7 @@
         addresses.sort();
         addresses.dedup();
         addresses.retain(|address| *address != self.identity.peer);
-        if let Some(snapshot) = self.latest() {
+        if let Some(snapshot) = self.latest_snapshot() {
             let mut nodes: Vec<_> = snapshot
                 .nodes
                 .iter()
@@ -92,7 +92,7 @@
                     Some(None) => {}
                     Some(Some(candidate)) => {
                         let is_best = candidate.hello.zone == self.identity.zone
-                            && candidate.hello.hub
+                            && candidate.hello.is_control_node
                             && !candidate.status.full;
                         if candidates.is_empty() {
                             collected = Box::pin(self.env.sleep(self.bounds().control_heartbeat() / 4).fuse());
@@ -158,7 +158,8 @@
             // choose each other. A node may also choose a control node of equal depth, because a control node never
             // chooses a node of its own depth.
             let is_nearer = |c: &Candidate| {
-                c.status.depth < depth || (c.hello.hub && !self.identity.is_control_node && c.status.depth == depth)
+                c.status.depth < depth
+                    || (c.hello.is_control_node && !self.identity.is_control_node && c.status.depth == depth)
             };
             let is_suitable = |c: &Candidate| c.hello.zone == self.identity.zone && !c.status.full && is_nearer(c);
             if let Some(c) = results.into_iter().flatten().flatten().filter(is_suitable).min_by_key(|c| c.status.depth)
--- a/wire/src/relay/mod.rs
+++ b/wire/src/relay/mod.rs
@@ -125,7 +125,7 @@
     /// On the leader, by node: when acknowledged heartbeats arrived.
     arrived_heartbeats: RefCell<BTreeMap<String, HeartbeatArrivals>>,
     /// Checks that a test has switched off.
-    pub guards: DisabledGuards,
+    pub disabled_guards: DisabledGuards,
     /// Nonces of heartbeats and when they were sent.
     sent_heartbeats: RefCell<VecDeque<(u64, Duration)>>,
     /// The nonce of the newest heartbeat that was acknowledged.
@@ -164,7 +164,7 @@
             search_counters: SearchCounters::default(),
             pending_requests: RefCell::default(),
             arrived_heartbeats: RefCell::default(),
-            guards: DisabledGuards::default(),
+            disabled_guards: DisabledGuards::default(),
             sent_heartbeats: RefCell::default(),
             last_ack_nonce: Cell::default(),
             last_acked_sent_at: Cell::default(),
@@ -184,7 +184,7 @@
     }
 
     fn handler(&self) -> Rc<dyn RelayHandler> {
-        self.handler.borrow().clone().expect("the relay's handler is set at the head of start-up")
+        self.handler.borrow().clone().expect("the relay's handler is set before it runs")
     }
 
     fn bounds(&self) -> Bounds {
@@ -197,7 +197,7 @@
         self.last_id.get()
     }
 
-    /// How long a parent may bring no acknowledgement before it is replaced: a third of the blueprint bound.
+    /// How long a parent may bring no acknowledgement before it is replaced: a third of the `blueprint` bound.
     fn stale_timeout(&self) -> Duration {
         Duration::from_millis(self.bounds.borrow().blueprint) / 3
     }
@@ -254,12 +254,12 @@
         let mut hello = Hello {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
-            hub: self.identity.is_control_node,
+            is_control_node: self.identity.is_control_node,
             peer: self.identity.peer.to_string(),
             boot_id: self.identity.boot_id,
             bounds_digest: self.bounds.borrow().digest(),
-            deltas: true,
-            pieces: true,
+            accepts_deltas: true,
+            accepts_pieces: true,
             ..Hello::default()
         };
         self.handler().fill_hello(&mut hello);
@@ -347,7 +347,7 @@
             http: self.identity.http.to_string(),
             snapshot_version: Some(self.snapshot_version()),
             last_ack_nonce: self.last_ack_nonce.get(),
-            hub: self.identity.is_control_node,
+            is_control_node: self.identity.is_control_node,
             bounds_digest: self.bounds.borrow().digest(),
             leaving,
             depth,
@@ -420,7 +420,7 @@
     }
 
     /// The number of descendants that are reached through children.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.routes.borrow().len()
     }
 
--- a/wire/src/relay/search.rs
+++ b/wire/src/relay/search.rs
@@ -40,7 +40,7 @@
         in_a_row.is_power_of_two().then(|| {
             let (tried, answered) = (self.tried.get(), self.answered.get());
             format!(
-                "no parent in {in_a_row} searches: of {tried} addresses {answered} answered, none reaches a leading hub"
+                "no parent in {in_a_row} searches: of {tried} addresses {answered} answered, none reaches the leading control node"
             )
         })
     }
--- a/wire/src/relay/serve.rs
+++ b/wire/src/relay/serve.rs
@@ -43,7 +43,7 @@
         writer.send(Body::ParentStatus(self.status()));
         let id = self.next_id();
         self.probing_links.borrow_mut().insert(id, writer.clone());
-        let timeout = self.descendant_timeout() * if from.hub { CONTROL_LINK_TIMEOUT_FACTOR } else { 1 };
+        let timeout = self.descendant_timeout() * if from.is_control_node { CONTROL_LINK_TIMEOUT_FACTOR } else { 1 };
         let error = loop {
             let body = match self.env.timeout(timeout, reader.next()).await {
                 Ok(Ok(body)) => body,
@@ -61,7 +61,7 @@
                     let origin = match &body {
                         Body::NodeHeartbeat(heartbeat) => heartbeat.name.clone(),
                         Body::ForwardedRequest(request) => request.origin.clone(),
-                        _ => unreachable!("only beats (node heartbeats) and forwarded requests reach this match"),
+                        _ => unreachable!("only node heartbeats and forwarded requests reach this match"),
                     };
                     self.routes.borrow_mut().insert(origin, (id, self.env.now()));
                     self.send_up(body);
@@ -91,8 +91,12 @@
             return;
         }
         self.probing_links.borrow_mut().remove(&id);
-        let child =
-            Child { name: from.name.clone(), writer: writer.clone(), accepts_deltas: from.deltas, sent_snapshot: None };
+        let child = Child {
+            name: from.name.clone(),
+            writer: writer.clone(),
+            accepts_deltas: from.accepts_deltas,
+            sent_snapshot: None,
+        };
         self.children.borrow_mut().insert(id, child);
         self.log(format!("child {} joined", from.name));
     }
--- a/wire/src/relay/snapshots.rs
+++ b/wire/src/relay/snapshots.rs
@@ -20,9 +20,9 @@
 #[derive(Default)]
 pub struct SnapshotCounters {
     /// Full snapshots received.
-    pub whole: Cell<u64>,
+    pub full: Cell<u64>,
     /// Encoded bytes of the full snapshots received.
-    pub whole_bytes: Cell<u64>,
+    pub full_bytes: Cell<u64>,
     /// Deltas received.
     pub deltas: Cell<u64>,
     /// Encoded bytes of the deltas received.
@@ -39,7 +39,7 @@
 
 impl Relay {
     /// The newest snapshot that this process has.
-    pub fn latest(&self) -> Option<Rc<Snapshot>> {
+    pub fn latest_snapshot(&self) -> Option<Rc<Snapshot>> {
         self.snapshot.borrow().clone()
     }
 
@@ -49,7 +49,7 @@
 
     /// Stores a snapshot that this process made, and sends it to the children.
     pub fn publish(&self, mut new: Snapshot) {
-        if let Some(old) = self.latest() {
+        if let Some(old) = self.latest_snapshot() {
             new.keep_unchanged(&old);
         }
         self.store_snapshot(new, None);
@@ -57,8 +57,8 @@
 
     /// Handles a full snapshot from the parent.
     pub(super) fn on_full_snapshot(&self, message: FullSnapshot) {
-        add(&self.snapshot_counters.whole, 1);
-        add(&self.snapshot_counters.whole_bytes, message.encoded_len() as u64);
+        add(&self.snapshot_counters.full, 1);
+        add(&self.snapshot_counters.full_bytes, message.encoded_len() as u64);
         self.snapshot_requested_at.set(None);
         if let Some(new) = Snapshot::from_message(message) {
             self.store_snapshot(new, None);
@@ -69,7 +69,7 @@
     pub(super) fn on_delta(&self, delta: SnapshotDelta) {
         add(&self.snapshot_counters.deltas, 1);
         add(&self.snapshot_counters.delta_bytes, delta.encoded_len() as u64);
-        let old = self.latest().unwrap_or_default();
+        let old = self.latest_snapshot().unwrap_or_default();
         match old.apply(&delta) {
             Ok(new) => {
                 drop(old);
@@ -100,7 +100,7 @@
 
     /// Stores a snapshot and sends it to the children; ignores one that is not newer than the current one.
     fn store_snapshot(&self, new: Snapshot, delta: Option<SnapshotDelta>) {
-        let old = self.latest().unwrap_or_default();
+        let old = self.latest_snapshot().unwrap_or_default();
         if new.version <= old.version {
             return;
         }
@@ -119,7 +119,7 @@
 
     /// Sends a child the newest snapshot, or the delta to it, if the child is known to hold an older one.
     fn update_child(&self, id: u64) {
-        let Some(newest) = self.latest() else { return };
+        let Some(newest) = self.latest_snapshot() else { return };
         let mut children = self.children.borrow_mut();
         let Some(child) = children.get_mut(&id) else { return };
         let Some(sent) = child.sent_snapshot.filter(|sent| sent.version < newest.version) else { return };
@@ -150,7 +150,7 @@
 
     /// Sends the full snapshot to a child that requested it because a delta did not fit the snapshot it holds.
     pub(super) fn on_snapshot_request(&self, id: u64, version: SnapshotVersion) {
-        let Some(newest) = self.latest().filter(|newest| version < newest.version) else { return };
+        let Some(newest) = self.latest_snapshot().filter(|newest| version < newest.version) else { return };
         let mut children = self.children.borrow_mut();
         let Some(child) = children.get_mut(&id) else { return };
         if child.writer.send(Body::FullSnapshot(newest.to_message())) {
--- a/wire/tests/image_delta.rs
+++ b/wire/tests/image_delta.rs
@@ -60,5 +60,5 @@
         old.delta_to(&new).encoded_len()
     };
     let (few, many) = (size(40), size(4000));
-    assert!(many < few + 16, "{few} bytes among 40 routes (doorways), {many} among 4000");
+    assert!(many < few + 16, "{few} bytes among 40 routes, {many} among 4000");
 }
--- a/wire/tests/pieces.rs
+++ b/wire/tests/pieces.rs
@@ -11,7 +11,7 @@
 }
 
 fn hello(pieces: bool) -> Body {
-    Body::Hello(Hello { name: "n".into(), pieces, ..Hello::default() })
+    Body::Hello(Hello { name: "n".into(), accepts_pieces: pieces, ..Hello::default() })
 }
 
 /// A full snapshot that fills many pieces even when compressed.
@@ -50,7 +50,7 @@
 /// The frames, in the order of arrival, that are received over a link after `bodies` were queued at once.
 fn received(receiver_accepts_pieces: bool, bodies: Vec<Body>) -> Vec<String> {
     let sim = Sim::new(1);
-    let (near, far) = (sim.host("near", "north"), sim.host("far", "south"));
+    let (near, far) = (sim.add_host("near", "north"), sim.add_host("far", "south"));
     let (near, far): (Env, Env) = (sim.env(near), sim.env(far));
     let out: Rc<RefCell<Vec<String>>> = Rc::default();
     let (labels, count) = (out.clone(), bodies.len());
@@ -66,7 +66,7 @@
         }
     })
     .detach();
-    sim.pass(Duration::from_millis(5));
+    sim.run_for(Duration::from_millis(5));
     let env = near.clone();
     near.spawn(async move {
         let stream = env.connect(address(), Duration::from_secs(1)).await.expect("a link");
@@ -77,7 +77,7 @@
         std::future::pending::<()>().await;
     })
     .detach();
-    sim.pass(Duration::from_secs(20));
+    sim.run_for(Duration::from_secs(20));
     out.borrow().clone()
 }
 
--- a/wire/tests/snapshot_delta.rs
+++ b/wire/tests/snapshot_delta.rs
@@ -24,7 +24,7 @@
         }};
     }
     match kind % 9 {
-        0 => set!(image.routes, name, Route { name: name.clone(), fresh_ms: value, ..Route::default() }),
+        0 => set!(image.routes, name, Route { name: name.clone(), max_staleness_ms: value, ..Route::default() }),
         1 => set!(image.groups, name, Group { name: name.clone(), cap: value, ..Group::default() }),
         2 => set!(image.elections, group, Election { group: name.clone(), epoch: value, ..Election::default() }),
         3 => set!(image.logs, server, ServerLog { server: name.clone(), log_id: value, ..ServerLog::default() }),
